--- a/packages/decisions/src/calls/key_holder.ts
+++ b/packages/decisions/src/calls/api_key_owner.ts
@@ -1,5 +1,5 @@
 /** The workspace that holds an API key. */
-export interface KeyHolder {
+export interface ApiKeyOwner {
   readonly workspace: string;
   /** Regions in which its data may be; undefined if any will do. */
   readonly regions?: readonly string[];
--- a/packages/decisions/src/calls/may_move_more.ts
+++ b/packages/decisions/src/calls/can_shift_one_more_call.ts
@@ -1,10 +1,10 @@
 import type {ExposureBounds} from './exposure_bounds.js';
-import {finalExposureLimit} from './final_exposure_limit.js';
-import {latestCompleteMs} from './latest_complete_ms.js';
-import type {RolloutFacts} from './rollout_facts.js';
+import {estimateFinalExposureLimit} from './estimate_final_exposure_limit.js';
+import {computeLatestCompletionMs} from './compute_latest_completion_ms.js';
+import type {RolloutProgress} from './rollout_progress.js';
 
 /** How much faster than in the last seconds calls may come once nothing holds them back. */
-const SURGE_TIMES = 1.2;
+const SURGE_FACTOR = 1.2;
 
 /**
  * Whether, while all calls move to the new version, one more call without a session may be put there. From the end of the
@@ -14,15 +14,15 @@
  * @param bounds this host's part of the bounds
  * @param own what this host itself counted: it is exact, where what others told is half a second old or more
  */
-export function mayMoveMore(
+export function canShiftOneMoreCall(
   bounds: ExposureBounds,
-  own: RolloutFacts,
+  own: RolloutProgress,
 ): boolean {
   const {durationMs, elapsedMs, sentFresh, callsPerMs, freshPerMs} = own;
-  const completeMs = latestCompleteMs(durationMs);
+  const completeMs = computeLatestCompletionMs(durationMs);
   const untilCompleteMs = Math.max(0, completeMs - elapsedMs);
   const afterwardsMs = durationMs - completeMs;
-  const afterwards = callsPerMs * afterwardsMs * SURGE_TIMES;
+  const afterwards = callsPerMs * afterwardsMs * SURGE_FACTOR;
   const toCome = freshPerMs * untilCompleteMs + afterwards;
-  return sentFresh + 1 + toCome <= finalExposureLimit(bounds, own);
+  return sentFresh + 1 + toCome <= estimateFinalExposureLimit(bounds, own);
 }
--- a/packages/decisions/src/calls/may_move_sessions.ts
+++ b/packages/decisions/src/calls/can_shift_sessions.ts
@@ -1,6 +1,6 @@
-import type {RolloutFacts} from './rollout_facts.js';
+import type {RolloutProgress} from './rollout_progress.js';
 
-type Options = Pick<RolloutFacts, 'elapsedMs' | 'durationMs'>;
+type Options = Pick<RolloutProgress, 'elapsedMs' | 'durationMs'>;
 
 /**
  * Part of the duration before which no session is on the new version: sessions may move from half of it on, and
@@ -8,9 +8,9 @@
  * did not know, the new version got 19 of 200 that ran on the old one at another host (test of two hosts).
  * Hosts learn of an order later than it was made, so the margin over half only covers clocks that drift.
  */
-const SESSIONS_PART = 0.52;
+const EARLIEST_SESSION_SHIFT_PART = 0.52;
 
 /** Whether sessions may be on the new version of a roll-out now. */
-export function mayMoveSessions({elapsedMs, durationMs}: Options): boolean {
-  return elapsedMs >= durationMs * SESSIONS_PART;
+export function canShiftSessions({elapsedMs, durationMs}: Options): boolean {
+  return elapsedMs >= durationMs * EARLIEST_SESSION_SHIFT_PART;
 }
--- a/packages/decisions/src/calls/answer_weighing.ts
+++ b/packages/decisions/src/calls/cascade_decision.ts
@@ -1,5 +1,5 @@
 /** What was compared to decide on a small model's answer; worths are parts of the request's full worth. */
-export interface AnswerWeighing {
+export interface CascadeDecision {
   /** Whether the answer is used. */
   readonly isUsed: boolean;
   /** How probable it is that the answer is good, 0 to 1. */
--- a/packages/decisions/src/calls/watched_runners.test.ts
+++ b/packages/decisions/src/calls/choose_canary_runners.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {watchedRunners} from './watched_runners.js';
+import {chooseCanaryRunners} from './choose_canary_runners.js';
 
 const SLOTS = 64;
 
@@ -17,7 +17,7 @@
   const old = runners('old', [30, 34]);
   const seen: number[] = [];
   for (let i = 0; i < 64; i++) {
-    const some = watchedRunners({fresh, old});
+    const some = chooseCanaryRunners({fresh, old});
     assert.equal(some.length, 1);
     some[0].totalRunning += 1;
     seen.push(fresh.filter(({totalRunning}) => totalRunning > 0).length);
@@ -30,13 +30,13 @@
 void test('all hosts take the runners in the same order', () => {
   const fresh = runners('new', [0, 0, 0, 0]);
   const old = runners('old', [30, 34]);
-  const [first] = watchedRunners({fresh, old});
-  const [again] = watchedRunners({fresh: [...fresh].reverse(), old});
+  const [first] = chooseCanaryRunners({fresh, old});
+  const [again] = chooseCanaryRunners({fresh: [...fresh].reverse(), old});
   assert.equal(first.id, again.id);
 });
 
 void test('while the old runners have little to do, calls go to all runners of a watched version', () => {
   const fresh = runners('new', [0, 0, 0, 0]);
   const old = runners('old', [7, 9]);
-  assert.deepEqual(watchedRunners({fresh, old}), fresh);
+  assert.deepEqual(chooseCanaryRunners({fresh, old}), fresh);
 });
--- a/packages/decisions/src/calls/watched_runners.ts
+++ b/packages/decisions/src/calls/choose_canary_runners.ts
@@ -1,5 +1,5 @@
-import {hashBits} from './hash_bits.js';
-import {mixHashes} from './mix_hashes.js';
+import {hashToUint32} from './hash_to_uint32.js';
+import {combineHashes} from './combine_hashes.js';
 
 /** A runner as far as its load matters. */
 interface LoadedRunner {
@@ -25,7 +25,7 @@
  * a twentieth of the load that it bears once all calls move, and what breaks under load would show only then; so they go to
  * the first runner that has less than the old ones usually have, in an order that all hosts share.
  */
-export function watchedRunners<T extends LoadedRunner>({
+export function chooseCanaryRunners<T extends LoadedRunner>({
   fresh,
   old,
 }: Options<T>): readonly T[] {
@@ -37,8 +37,8 @@
 }
 
 function rank<T extends LoadedRunner>(runners: readonly T[]): T[] {
-  const seed = hashBits('watched');
-  const scoreOf = ({id}: T) => mixHashes(seed, hashBits(id));
+  const seed = hashToUint32('watched');
+  const scoreOf = ({id}: T) => combineHashes(seed, hashToUint32(id));
   return [...runners].sort((a, b) => scoreOf(a) - scoreOf(b));
 }
 
--- a/packages/decisions/src/calls/choose_service.ts
+++ b/packages/decisions/src/calls/choose_service.ts
@@ -1,11 +1,11 @@
 import type {CallRoute} from './call_route.js';
-import {hashText} from './hash_text.js';
+import {hashToFraction} from './hash_to_fraction.js';
 
 /** The service that takes a call, by the route's weights; the same key gets the same service. */
 export function chooseService(route: CallRoute, key: string): string {
   const {targets} = route;
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
-  let rest = hashText(`${route.name}|${key}`) * total;
+  let rest = hashToFraction(`${route.name}|${key}`) * total;
   for (const target of targets) {
     rest -= target.weight;
     if (rest < 0) return target.service;
--- a/packages/decisions/src/calls/cold_share.test.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {coldShare} from './cold_share.js';
+import {computeColdRunnerShare} from './compute_cold_runner_share.js';
 
 const limits = {perSecond: 13, overage: 1.5, slack: 5};
 
@@ -13,7 +13,7 @@
 
 function sumOf(runner: string, hosts: readonly string[], bounds = limits) {
   return hosts.reduce(
-    (sum, host) => sum + coldShare({runner, host, hosts, limits: bounds}),
+    (sum, host) => sum + computeColdRunnerShare({runner, host, hosts, limits: bounds}),
     0,
   );
 }
@@ -47,7 +47,7 @@
   const hosts = nameHosts(22);
   const runners = Array.from({length: 26}, (_, i) => `i-${i}`);
   const shareOf = (runner: string, host: string) =>
-    coldShare({runner, host, hosts, limits});
+    computeColdRunnerShare({runner, host, hosts, limits});
   for (const runner of runners)
     assert.ok(hosts.some(host => shareOf(runner, host) > 0));
   const useful = hosts.filter(host =>
--- a/packages/decisions/src/calls/cold_share.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.ts
@@ -1,6 +1,6 @@
-import type {CallBound} from './call_bound.js';
-import {callShare} from './call_share.js';
-import {callsWithin} from './calls_within.js';
+import type {RunnerRateLimit} from './runner_rate_limit.js';
+import {computeHostShare} from './compute_host_share.js';
+import {computeWindowQuota} from './compute_window_quota.js';
 import {rankByHash} from './rank_by_hash.js';
 
 interface Options {
@@ -10,18 +10,18 @@
   readonly host: string;
   /** Names of the hosts that may send there, this one included. */
   readonly hosts: readonly string[];
-  readonly limits: Omit<CallBound, 'windowMs'>;
+  readonly limits: Omit<RunnerRateLimit, 'windowMs'>;
 }
 
 /** Calls a second with which a connection to a cold runner is of use to a host. */
-const USEFUL_CALLS = 3;
+const MIN_USEFUL_CALLS = 3;
 const WINDOW_MS = 1_000;
 
 /** How many calls a host may send to a cold runner within a second. */
-export function coldShare({runner, host, hosts, limits}: Options): number {
-  return callShare({
-    calls: callsWithin({...limits, windowMs: WINDOW_MS}),
-    leastCalls: USEFUL_CALLS,
+export function computeColdRunnerShare({runner, host, hosts, limits}: Options): number {
+  return computeHostShare({
+    calls: computeWindowQuota({...limits, windowMs: WINDOW_MS}),
+    minUsefulCalls: MIN_USEFUL_CALLS,
     hosts: hosts.length,
     rank: rankByHash(`cold|${runner}`, hosts).indexOf(host),
   });
--- a/packages/decisions/src/calls/call_share.test.ts
+++ b/packages/decisions/src/calls/compute_host_share.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {callShare} from './call_share.js';
-import {callsWithin} from './calls_within.js';
+import {computeHostShare} from './compute_host_share.js';
+import {computeWindowQuota} from './compute_window_quota.js';
 import {rankByHash} from './rank_by_hash.js';
 
 const bounds = fc.record({
@@ -21,7 +21,7 @@
   leastCalls = 1,
 ): number {
   const rank = rankByHash('i-1', hosts).indexOf(host);
-  return callShare({calls, leastCalls, hosts: hosts.length, rank});
+  return computeHostShare({calls, minUsefulCalls: leastCalls, hosts: hosts.length, rank});
 }
 
 function sumOf(hosts: readonly string[], calls: number, leastCalls = 1) {
@@ -48,7 +48,7 @@
 void test('hosts that know any two sets of hosts stay within the bound together', () => {
   fc.assert(
     fc.property(names, names, bounds, (one, two, bound) => {
-      const calls = callsWithin(bound);
+      const calls = computeWindowQuota(bound);
       const sum = sumOf(one.map(String), calls) + sumOf(two.map(String), calls);
       const borne = (bound.perSecond * bound.windowMs) / 1_000;
       assert.ok(sum <= borne * bound.overage + bound.slack + 1e-9);
--- a/packages/decisions/src/calls/call_share.ts
+++ b/packages/decisions/src/calls/compute_host_share.ts
@@ -2,7 +2,7 @@
   /** Calls in a window that are shared out, a whole number. */
   readonly calls: number;
   /** Calls with which a runner is of use to a host; smaller parts are not given out. */
-  readonly leastCalls: number;
+  readonly minUsefulCalls: number;
   /** How many hosts share them. */
   readonly hosts: number;
   /** This host's rank among them, from 0; the same at all hosts that know the same ones. */
@@ -14,7 +14,7 @@
  * the calls, without a message between them. Where hosts know different sets, each of which holds the one before, only
  * those that the smallest lacks add to that: a host's share never grows with the number of hosts.
  */
-export function callShare({calls, leastCalls, hosts, rank}: Options): number {
+export function computeHostShare({calls, minUsefulCalls: leastCalls, hosts, rank}: Options): number {
   if (calls < 1 || rank < 0 || rank >= hosts) return 0;
   const size = Math.min(leastCalls, calls);
   const parts = Math.floor(calls / size);
--- a/packages/decisions/src/calls/judge_version.test.ts
+++ b/packages/decisions/src/calls/evaluate_version.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {judgeVersion} from './judge_version.js';
+import {evaluateVersion} from './evaluate_version.js';
 
 void test('a version is bad for failures or slowness beyond chance, not below', () => {
   const old = {ended: 300, failed: 12, slow: 3};
   const sound = {ended: 40, failed: 2, slow: 1};
-  assert.equal(judgeVersion({fresh: sound, old}), 'open');
-  assert.equal(judgeVersion({fresh: {...sound, failed: 14}, old}), 'bad');
-  assert.equal(judgeVersion({fresh: {...sound, slow: 14}, old}), 'bad');
+  assert.equal(evaluateVersion({fresh: sound, old}), 'open');
+  assert.equal(evaluateVersion({fresh: {...sound, failed: 14}, old}), 'bad');
+  assert.equal(evaluateVersion({fresh: {...sound, slow: 14}, old}), 'bad');
   const common = {ended: 300, failed: 60, slow: 3};
   assert.equal(
-    judgeVersion({fresh: {...sound, failed: 9}, old: common}),
+    evaluateVersion({fresh: {...sound, failed: 9}, old: common}),
     'open',
   );
   const few = {ended: 5, failed: 5, slow: 0};
-  assert.equal(judgeVersion({fresh: few, old}), 'open');
+  assert.equal(evaluateVersion({fresh: few, old}), 'open');
 });
 
 void test('sound versions with a natural share of failures are hardly ever judged bad', () => {
@@ -28,7 +28,7 @@
       const tally = random() < 0.1 ? fresh : old;
       tally.ended += 1;
       if (random() < 0.14) tally.failed += 1;
-      if (judgeVersion({fresh, old}) === 'open') continue;
+      if (evaluateVersion({fresh, old}) === 'open') continue;
       wrong += 1;
       break;
     }
--- a/packages/decisions/src/calls/event_splitter.ts
+++ b/packages/decisions/src/calls/event_splitter.ts
@@ -12,28 +12,28 @@
  * back, so that a caller never sees half of one.
  */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private pending: Buffer = Buffer.alloc(0);
   /** Where the last line of the rest starts; what stands before was looked at. */
-  private restLineStart = 0;
+  private pendingLineStart = 0;
 
   /** Bytes of an event that has not ended yet. */
   get pendingBytes(): number {
-    return this.rest.length;
+    return this.pending.length;
   }
 
   /** Whether an event is larger than what is kept for one. */
   get isOversized(): boolean {
-    return this.rest.length > MAX_EVENT_BYTES;
+    return this.pending.length > MAX_EVENT_BYTES;
   }
 
   /** The whole events that these bytes complete, in order. */
   push(chunk: Buffer): StreamEvent[] {
     const bytes =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+      this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
-    let lineStart = this.restLineStart;
-    for (let i = this.rest.length; i < bytes.length; i++) {
+    let lineStart = this.pendingLineStart;
+    for (let i = this.pending.length; i < bytes.length; i++) {
       if (bytes[i] !== LINE_FEED) continue;
       const isEmpty =
         i === lineStart ||
@@ -43,8 +43,8 @@
       events.push(toEvent(bytes.subarray(start, lineStart)));
       start = lineStart;
     }
-    this.rest = bytes.subarray(start);
-    this.restLineStart = lineStart - start;
+    this.pending = bytes.subarray(start);
+    this.pendingLineStart = lineStart - start;
     return events;
   }
 }
--- a/packages/decisions/src/calls/fingerprint_of.test.ts
+++ b/packages/decisions/src/calls/fingerprint_request.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {fingerprintOf} from './fingerprint_of.js';
+import {fingerprintRequest} from './fingerprint_request.js';
 
 const CONTENT = {
   method: 'POST',
@@ -22,7 +22,7 @@
     {...CONTENT, body: Buffer.from('a question ')},
     {...CONTENT, body: Buffer.alloc(0)},
   ];
-  const prints = [CONTENT, ...others].map(fingerprintOf);
+  const prints = [CONTENT, ...others].map(fingerprintRequest);
   assert.equal(new Set(prints).size, prints.length);
 });
 
@@ -32,8 +32,8 @@
     fc.property(asBytes, fc.nat(9), (bytes, offset) => {
       const moved = Buffer.concat([Buffer.alloc(offset), bytes]);
       const body = moved.subarray(offset);
-      const print = fingerprintOf({...CONTENT, body: bytes});
-      assert.equal(fingerprintOf({...CONTENT, body}), print);
+      const print = fingerprintRequest({...CONTENT, body: bytes});
+      assert.equal(fingerprintRequest({...CONTENT, body}), print);
       assert.match(print, /^[0-9a-f]{16}$/);
     }),
   );
@@ -45,8 +45,8 @@
     fc.property(asBytes, fc.nat(), fc.nat(7), (bytes, place, bit) => {
       const changed = Uint8Array.from(bytes);
       changed[place % bytes.length] ^= 1 << bit;
-      const one = fingerprintOf({...CONTENT, body: bytes});
-      assert.notEqual(fingerprintOf({...CONTENT, body: changed}), one);
+      const one = fingerprintRequest({...CONTENT, body: bytes});
+      assert.notEqual(fingerprintRequest({...CONTENT, body: changed}), one);
     }),
   );
 });
--- a/packages/decisions/src/calls/common_regions.ts
+++ b/packages/decisions/src/calls/intersect_regions.ts
@@ -3,7 +3,7 @@
  *
  * @returns undefined if neither bounds them; an empty list if no region is allowed by both
  */
-export function commonRegions(
+export function intersectRegions(
   ofRoute: readonly string[] | undefined,
   ofWorkspace: readonly string[] | undefined,
 ): readonly string[] | undefined {
--- a/packages/decisions/src/calls/is_recently_worse.ts
+++ b/packages/decisions/src/calls/is_recently_worse.ts
@@ -1,17 +1,17 @@
-import {expectedFailureShare} from './expected_failure_share.js';
-import type {VersionTally} from './version_tally.js';
+import {estimateFailureRate} from './estimate_failure_rate.js';
+import type {VersionOutcomes} from './version_outcomes.js';
 
 interface Options {
   /** What the new version answered lately. */
-  readonly fresh: VersionTally;
+  readonly fresh: VersionOutcomes;
   /** All that the old version answered. */
-  readonly old: VersionTally;
+  readonly old: VersionOutcomes;
 }
 
 /** Bad answers that are no chance of one connection or runner. */
-const MIN_BAD = 3;
+const MIN_BAD_ANSWERS = 3;
 /** How much larger their share is than the old version's: of a bad version every fifth answer is bad, or more. */
-const EXCESS_SHARE = 0.1;
+const MAX_EXCESS_RATE = 0.1;
 
 /**
  * Whether the new version has begun to fail, or to be slow, more than the old one. No verdict: it only delays what cannot be
@@ -19,17 +19,17 @@
  */
 export function isRecentlyWorse({fresh, old}: Options): boolean {
   return (
-    isMore(fresh.failed, fresh.ended, old.failed, old.ended) ||
-    isMore(fresh.slow, fresh.ended, old.slow, old.ended)
+    hasHigherRate(fresh.failed, fresh.ended, old.failed, old.ended) ||
+    hasHigherRate(fresh.slow, fresh.ended, old.slow, old.ended)
   );
 }
 
-function isMore(
+function hasHigherRate(
   bad: number,
   ended: number,
   oldBad: number,
   oldEnded: number,
 ): boolean {
-  if (bad < MIN_BAD) return false;
-  return bad / ended - expectedFailureShare(oldBad, oldEnded) > EXCESS_SHARE;
+  if (bad < MIN_BAD_ANSWERS) return false;
+  return bad / ended - estimateFailureRate(oldBad, oldEnded) > MAX_EXCESS_RATE;
 }
--- a/packages/decisions/src/calls/is_version_suspect.ts
+++ b/packages/decisions/src/calls/is_version_suspect.ts
@@ -1,9 +1,9 @@
-import {expectedFailureShare} from './expected_failure_share.js';
-import type {VersionTally} from './version_tally.js';
+import {estimateFailureRate} from './estimate_failure_rate.js';
+import type {VersionOutcomes} from './version_outcomes.js';
 
 interface Options {
-  readonly fresh: VersionTally;
-  readonly old: VersionTally;
+  readonly fresh: VersionOutcomes;
+  readonly old: VersionOutcomes;
 }
 
 /**
@@ -11,11 +11,11 @@
  * failed there is better off with the old one. Three failed answers of ten and few of the old version reach
  * it; one failed answer alone never does, nor do failures that both versions have.
  */
-const MAX_EXCESS_SHARE = 0.1;
+const MAX_EXCESS_RATE = 0.1;
 
 /** Whether a new version seems to fail so much more than the old one that a failed call should leave it. */
 export function isVersionSuspect({fresh, old}: Options): boolean {
-  const freshShare = expectedFailureShare(fresh.failed, fresh.ended);
-  const oldShare = expectedFailureShare(old.failed, old.ended);
-  return freshShare - oldShare > MAX_EXCESS_SHARE;
+  const freshShare = estimateFailureRate(fresh.failed, fresh.ended);
+  const oldShare = estimateFailureRate(old.failed, old.ended);
+  return freshShare - oldShare > MAX_EXCESS_RATE;
 }
--- a/packages/decisions/src/calls/largest_outlook.ts
+++ b/packages/decisions/src/calls/largest_model_forecast.ts
@@ -1,5 +1,5 @@
 /** What asking the largest model would mean now. */
-export interface LargestOutlook {
+export interface LargestModelForecast {
   /** Expected time to its first event, in ms. */
   readonly expectedMs: number;
   /** Engine time that reading the prompt takes, in ms. */
--- a/packages/decisions/src/calls/cascade_rule.test.ts
+++ b/packages/decisions/src/calls/model_cascade.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SeededRandom} from '@bayspool/kernel';
-import {CascadeRule} from './cascade_rule.js';
-import {OpinionScale} from './opinion_scale.js';
+import {ModelCascade} from './model_cascade.js';
+import {ConfidenceCalibration} from './confidence_calibration.js';
 import {sampleRoute as route} from './testing/sample_route.js';
 
 const calm = {expectedMs: 300, workMs: 250, pressure: 0};
@@ -15,54 +15,54 @@
 };
 
 void test('in calm times an answer has to be probably good to be used', () => {
-  const rule = new CascadeRule();
-  assert.equal(rule.weigh({...answer, confidence: 40}).isUsed, false);
-  assert.equal(rule.weigh({...answer, confidence: 50}).isUsed, false);
-  assert.equal(rule.weigh({...answer, confidence: 80}).isUsed, true);
-  assert.equal(rule.weigh({...answer}).isUsed, true);
+  const rule = new ModelCascade();
+  assert.equal(rule.evaluateAnswer({...answer, confidence: 40}).isUsed, false);
+  assert.equal(rule.evaluateAnswer({...answer, confidence: 50}).isUsed, false);
+  assert.equal(rule.evaluateAnswer({...answer, confidence: 80}).isUsed, true);
+  assert.equal(rule.evaluateAnswer({...answer}).isUsed, true);
   const last = {...answer, model: 'large', confidence: 10};
-  assert.equal(rule.weigh(last).isUsed, true);
+  assert.equal(rule.evaluateAnswer(last).isUsed, true);
 });
 
 void test('the more reading waits at the runners, the less good an answer has to be', () => {
-  const rule = new CascadeRule();
+  const rule = new ModelCascade();
   const unsure = {...answer, confidence: 45};
   const loaded = {...calm, workMs: 400, pressure: 0.8};
-  assert.equal(rule.weigh(unsure).isUsed, false);
-  assert.equal(rule.weigh({...unsure, largest: loaded}).isUsed, true);
+  assert.equal(rule.evaluateAnswer(unsure).isUsed, false);
+  assert.equal(rule.evaluateAnswer({...unsure, largest: loaded}).isUsed, true);
   const short = {...loaded, workMs: 5};
-  assert.equal(rule.weigh({...unsure, largest: short}).isUsed, false);
+  assert.equal(rule.evaluateAnswer({...unsure, largest: short}).isUsed, false);
 });
 
 void test('no answer is dropped for one that would be late', () => {
-  const rule = new CascadeRule();
+  const rule = new ModelCascade();
   const late = {...calm, expectedMs: 4_000};
   assert.equal(
-    rule.weigh({...answer, confidence: 40, largest: late}).isUsed,
+    rule.evaluateAnswer({...answer, confidence: 40, largest: late}).isUsed,
     true,
   );
 });
 
 void test('a route whose small answers are never used starts with the largest model', () => {
-  const rule = new CascadeRule();
-  for (let i = 0; i < 100; i++) rule.weigh({...answer, confidence: 0});
-  const starts = Array.from({length: 100}, () => rule.firstModel(route));
+  const rule = new ModelCascade();
+  for (let i = 0; i < 100; i++) rule.evaluateAnswer({...answer, confidence: 0});
+  const starts = Array.from({length: 100}, () => rule.chooseFirstModel(route));
   assert.ok(starts.filter(model => model === 'large').length >= 90);
   assert.ok(starts.includes('small'));
 });
 
 void test('the noise of opinions is learned from pairs, cut ones left out', () => {
   const random = new SeededRandom(3);
-  const scale = new OpinionScale();
-  const before = scale.goodShare(60);
+  const scale = new ConfidenceCalibration();
+  const before = scale.probabilityGood(60);
   for (let i = 0; i < 400; i++) {
     const ease = random.next() * 100 - 50;
     const noise = () => (random.next() - 0.5) * 20;
     const clip = (value: number) => Math.min(100, Math.max(0, value));
-    scale.notePair(clip(30 + ease + noise()), clip(70 + ease + noise()));
+    scale.recordPair(clip(30 + ease + noise()), clip(70 + ease + noise()));
   }
   // Even noise over 20 points has a standard deviation of 20 / sqrt(12).
-  assert.ok(Math.abs(scale.spread - 5.8) < 1.5, `${scale.spread}`);
-  assert.ok(scale.goodShare(60) > before);
-  assert.ok(scale.goodShare(40) < 0.2);
+  assert.ok(Math.abs(scale.noiseDeviation - 5.8) < 1.5, `${scale.noiseDeviation}`);
+  assert.ok(scale.probabilityGood(60) > before);
+  assert.ok(scale.probabilityGood(40) < 0.2);
 });
--- a/packages/decisions/src/calls/first_by_hash.test.ts
+++ b/packages/decisions/src/calls/pick_first_by_hash.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {firstByHash} from './first_by_hash.js';
+import {pickFirstByHash} from './pick_first_by_hash.js';
 import {rankByHash} from './rank_by_hash.js';
 
 void test('the first by hash is the one that ranks first', () => {
   const names = Array.from({length: 50}, (_, i) => `runner-${i}`);
   for (let i = 0; i < 200; i++)
     assert.equal(
-      firstByHash(`key-${i}`, names),
+      pickFirstByHash(`key-${i}`, names),
       rankByHash(`key-${i}`, names)[0],
     );
-  assert.equal(firstByHash('key', []), undefined);
+  assert.equal(pickFirstByHash('key', []), undefined);
 });
--- a/packages/decisions/src/calls/first_by_hash.ts
+++ b/packages/decisions/src/calls/pick_first_by_hash.ts
@@ -1,14 +1,14 @@
-import {hashText} from './hash_text.js';
+import {hashToFraction} from './hash_to_fraction.js';
 
 /** The name that {@link rankByHash} puts first, without ordering the others. */
-export function firstByHash(
+export function pickFirstByHash(
   key: string,
   names: readonly string[],
 ): string | undefined {
   let first: string | undefined;
   let highest = -1;
   for (const name of names) {
-    const score = hashText(`${key}|${name}`);
+    const score = hashToFraction(`${key}|${name}`);
     if (score < highest) continue;
     if (score === highest && first !== undefined && first < name) continue;
     first = name;
--- a/packages/decisions/src/calls/urgent_first.test.ts
+++ b/packages/decisions/src/calls/priority_admission.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {VirtualClock} from '@bayspool/kernel';
-import {UrgentFirst} from './urgent_first.js';
+import {PriorityAdmission} from './priority_admission.js';
 
 /** One call of each of these priorities at each step, of which what the rule allows is sent. @returns how many, by priority */
 function play(priorities: readonly number[], perSecond: number): number[] {
   const clock = new VirtualClock();
   const windowMs = 4_000;
-  const rule = new UrgentFirst({clock, windowMs});
+  const rule = new PriorityAdmission({clock, windowMs});
   const sentAt: number[] = [];
   const sent = priorities.map(() => 0);
   for (let now = 0; now < 40_000; now += 100) {
     priorities.forEach((priority, index) => {
-      rule.noteWanted(priority);
+      rule.recordRequested(priority);
       const inWindow = sentAt.filter(at => at > now - windowMs).length;
       if (inWindow >= (perSecond * windowMs) / 1_000) return;
-      if (!rule.mayUse(priority, perSecond)) return;
-      rule.noteSent(priority);
+      if (!rule.canAdmit(priority, perSecond)) return;
+      rule.recordSent(priority);
       sentAt.push(now);
       sent[index] += 1;
     });
--- a/packages/decisions/src/calls/urgent_first.ts
+++ b/packages/decisions/src/calls/priority_admission.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@bayspool/kernel';
-import {SlidingCount} from './sliding_count.js';
+import {SlidingWindowCounter} from './sliding_window_counter.js';
 
 interface Options {
   readonly clock: Clock;
@@ -7,29 +7,29 @@
 }
 
 /** Calls of one priority within the window. */
-interface PriorityCounts {
-  readonly wanted: SlidingCount;
-  readonly sent: SlidingCount;
+interface PriorityCounters {
+  readonly requested: SlidingWindowCounter;
+  readonly sent: SlidingWindowCounter;
 }
 
 /** Part of the room that calls of any priority may use, so that none is refused altogether. */
-const LEAST_PART = 0.2;
+const MIN_CAPACITY_SHARE = 0.2;
 const MS_PER_SECOND = 1_000;
 
 /** Where runners take fewer calls than are wanted, keeps room for urgent ones: the others get what these leave. */
-export class UrgentFirst {
-  private readonly counts = new Map<number, PriorityCounts>();
+export class PriorityAdmission {
+  private readonly counters = new Map<number, PriorityCounters>();
 
   constructor(private readonly options: Options) {}
 
   /** Notes a call that came from a caller; 0 is the most urgent priority. */
-  noteWanted(priority: number): void {
-    this.countsOf(priority).wanted.add();
+  recordRequested(priority: number): void {
+    this.countersOf(priority).requested.increment();
   }
 
   /** Notes a call that is sent to a runner. */
-  noteSent(priority: number): void {
-    this.countsOf(priority).sent.add();
+  recordSent(priority: number): void {
+    this.countersOf(priority).sent.increment();
   }
 
   /**
@@ -37,27 +37,27 @@
    *
    * @param perSecond calls that this host may send to all runners of the service together; Infinity if nothing bounds them
    */
-  mayUse(priority: number, perSecond: number): boolean {
+  canAdmit(priority: number, perSecond: number): boolean {
     if (perSecond === Infinity) return true;
     let moreUrgent = 0;
     let sent = 0;
-    for (const [other, counts] of this.counts) {
-      if (other < priority) moreUrgent += counts.wanted.total;
+    for (const [other, counts] of this.counters) {
+      if (other < priority) moreUrgent += counts.requested.total;
       else sent += counts.sent.total;
     }
     if (moreUrgent === 0) return true;
     const room = (perSecond * this.options.windowMs) / MS_PER_SECOND;
-    return sent < Math.max(room * LEAST_PART, room - moreUrgent);
+    return sent < Math.max(room * MIN_CAPACITY_SHARE, room - moreUrgent);
   }
 
-  private countsOf(priority: number): PriorityCounts {
-    const known = this.counts.get(priority);
+  private countersOf(priority: number): PriorityCounters {
+    const known = this.counters.get(priority);
     if (known) return known;
     const counts = {
-      wanted: new SlidingCount(this.options),
-      sent: new SlidingCount(this.options),
+      requested: new SlidingWindowCounter(this.options),
+      sent: new SlidingWindowCounter(this.options),
     };
-    this.counts.set(priority, counts);
+    this.counters.set(priority, counts);
     return counts;
   }
 }
--- a/packages/decisions/src/calls/quarantine.ts
+++ b/packages/decisions/src/calls/quarantine.ts
@@ -1,16 +1,16 @@
 import type {Clock} from '@bayspool/kernel';
-import {judgeReturning} from './judge_returning.js';
-import {QuarantineEnd} from './quarantine_end.js';
-import type {QuarantineNews} from './quarantine_news.js';
-import type {RunnerEnd} from './runner_end.js';
-import {Suspect} from './suspect.js';
+import {reweighRecurrentCrashes} from './reweigh_recurrent_crashes.js';
+import {ReleaseReason} from './release_reason.js';
+import type {QuarantineDigest} from './quarantine_digest.js';
+import type {RunnerCrash} from './runner_crash.js';
+import {SuspectRequest} from './suspect_request.js';
 
 /** Told which requests are held back. */
 interface Listener {
   /** A request is held back from now on. */
-  readonly onHeld: (fingerprint: string, ends: readonly RunnerEnd[]) => void;
+  readonly onQuarantined: (fingerprint: string, ends: readonly RunnerCrash[]) => void;
   /** A request is held back no longer. */
-  readonly onReleased: (fingerprint: string, reason: QuarantineEnd) => void;
+  readonly onReleased: (fingerprint: string, reason: ReleaseReason) => void;
 }
 
 interface Options {
@@ -22,31 +22,31 @@
  * usual faults the most that spoke against a request by chance was 1.3, of 35 ends that counted; on one on which most
  * runners spoil or reset their answers and live on, 1 of 89.
  */
-const HOLD_WEIGHT = 3;
+const QUARANTINE_WEIGHT = 3;
 /** Weight of an end from which it leaves no doubt. */
-const CERTAIN = 1;
+const CERTAIN_WEIGHT = 1;
 /** Weights are sums of tenths. */
-const ROUNDING = 1e-9;
+const WEIGHT_EPSILON = 1e-9;
 /** Time in which hosts of a place tell each other of all requests that a runner had when it ended, in ms. */
-const SETTLE_MS = 1_000;
+const PROPAGATION_MS = 1_000;
 /**
  * How long a request is held back, in ms: long enough that its callers give up, short enough that one which was mended,
  * or never was the cause, is tried again by itself.
  */
-const HOLD_MS = 600_000;
+const QUARANTINE_MS = 600_000;
 /**
  * How long an end is remembered, in ms: over the time for which other hosts, which may have heard of it later, hold a
  * request back and tell of it; else that would begin anew.
  */
-const KEPT_MS = 2 * HOLD_MS;
+const CRASH_RETENTION_MS = 2 * QUARANTINE_MS;
 /** How long an end or a good answer is told to other hosts, in ms: some passes between hosts and places. */
-const TOLD_MS = 10_000;
+const GOSSIP_MS = 10_000;
 /** Requests told at once, the last changed first, and those that are held back before them. */
-const MAX_TOLD = 64;
+const MAX_DIGEST_REQUESTS = 64;
 /** Requests that are remembered; the least lately changed give way. 650 bytes each with one end (mean of 20,000). */
 const MAX_SUSPECTS = 1_000;
 /** Requests that are held back at once: more are a fault of the runners, and then the oldest is let go. */
-const MAX_HELD = 200;
+const MAX_QUARANTINED = 200;
 
 /**
  * Finds the requests under which runners end, wherever they come from, and says which are held back. Ends are sets, so
@@ -54,7 +54,7 @@
  * runner never has any. An end is put down to one request only: where one that is held back was, it speaks against no other.
  */
 export class Quarantine {
-  private readonly suspects = new Map<string, Suspect>();
+  private readonly suspects = new Map<string, SuspectRequest>();
   private readonly answered = new Map<string, number>();
   private readonly listeners: Listener[] = [];
 
@@ -66,15 +66,15 @@
   }
 
   /** How long a request is still held back, in ms; 0 if it is not. */
-  heldForMs(fingerprint: string): number {
-    const heldAt = this.suspects.get(fingerprint)?.heldAt;
+  remainingMs(fingerprint: string): number {
+    const heldAt = this.suspects.get(fingerprint)?.quarantinedAt;
     if (heldAt === undefined) return 0;
-    return Math.max(0, heldAt + HOLD_MS - this.options.clock.now());
+    return Math.max(0, heldAt + QUARANTINE_MS - this.options.clock.now());
   }
 
   /** The requests that are held back. */
-  held(): readonly string[] {
-    return this.heldSuspects().map(({fingerprint}) => fingerprint);
+  quarantinedFingerprints(): readonly string[] {
+    return this.quarantinedSuspects().map(({fingerprint}) => fingerprint);
   }
 
   /** How much speaks against a request so far; 0 for one under which no runner ended. */
@@ -83,43 +83,43 @@
   }
 
   /** Takes in that a runner ended while it had a request. */
-  noteEnds(fingerprint: string, ends: readonly RunnerEnd[]): void {
-    this.add(fingerprint, ends);
-    this.holdCertain([fingerprint]);
-    this.holdReturning([fingerprint]);
+  recordCrashes(fingerprint: string, ends: readonly RunnerCrash[]): void {
+    this.addCrashes(fingerprint, ends);
+    this.quarantineCertain([fingerprint]);
+    this.quarantineRecurrent([fingerprint]);
   }
 
   /**
    * Takes in that hosts hold a request back, as the store tells. It is not judged anew: which ends another request
    * explains depends on which of them is read first.
    */
-  noteHeld(fingerprint: string, ends: readonly RunnerEnd[]): void {
-    this.add(fingerprint, ends);
+  restoreRecord(fingerprint: string, ends: readonly RunnerCrash[]): void {
+    this.addCrashes(fingerprint, ends);
     const suspect = this.suspects.get(fingerprint);
-    if (!suspect || suspect.heldAt !== undefined) return;
-    if (isEnough(suspect.weight)) this.hold(suspect);
+    if (!suspect || suspect.quarantinedAt !== undefined) return;
+    if (reachesThreshold(suspect.weight)) this.startQuarantine(suspect);
   }
 
   /** Takes in that a request was answered well. */
-  noteAnswer(fingerprint: string): void {
+  recordAnswer(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
-    if (!suspect || suspect.ends.length === 0) return;
+    if (!suspect || suspect.crashes.length === 0) return;
     this.answered.set(fingerprint, this.options.clock.now());
-    this.release(fingerprint, QuarantineEnd.ANSWERED);
+    this.release(fingerprint, ReleaseReason.ANSWERED);
   }
 
   /** What other hosts are to be told. */
-  news(): QuarantineNews {
+  createDigest(): QuarantineDigest {
     const now = this.options.clock.now();
     for (const [fingerprint, at] of this.answered)
-      if (now - at > TOLD_MS) this.answered.delete(fingerprint);
-    const recent = this.openSuspects().filter(
-      ({changedAt}) => now - changedAt <= TOLD_MS,
+      if (now - at > GOSSIP_MS) this.answered.delete(fingerprint);
+    const recent = this.releasedSuspects().filter(
+      ({changedAt}) => now - changedAt <= GOSSIP_MS,
     );
-    const told = [...this.heldSuspects(), ...recent.reverse()];
+    const told = [...this.quarantinedSuspects(), ...recent.reverse()];
     const ends = told
-      .slice(0, MAX_TOLD)
-      .map(suspect => [suspect.fingerprint, toPlain(suspect)] as const);
+      .slice(0, MAX_DIGEST_REQUESTS)
+      .map(suspect => [suspect.fingerprint, toRunnerCrashes(suspect)] as const);
     return {
       ends: Object.fromEntries(ends),
       answered: [...this.answered.keys()],
@@ -127,23 +127,23 @@
   }
 
   /** Takes in what other hosts told. */
-  take({ends, answered}: QuarantineNews): void {
+  mergeDigest({ends, answered}: QuarantineDigest): void {
     for (const fingerprint of answered) {
-      const isNews = this.suspects.get(fingerprint)?.ends.length;
-      if (isNews) this.release(fingerprint, QuarantineEnd.ANSWERED);
+      const isNews = this.suspects.get(fingerprint)?.crashes.length;
+      if (isNews) this.release(fingerprint, ReleaseReason.ANSWERED);
     }
     for (const [fingerprint, list] of Object.entries(ends))
-      this.add(fingerprint, list);
-    this.holdCertain(Object.keys(ends));
-    this.holdReturning(Object.keys(ends));
+      this.addCrashes(fingerprint, list);
+    this.quarantineCertain(Object.keys(ends));
+    this.quarantineRecurrent(Object.keys(ends));
   }
 
   /** Lets a request go; what is known of it so far counts no longer. */
-  release(fingerprint: string, reason: QuarantineEnd): void {
+  release(fingerprint: string, reason: ReleaseReason): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect) return;
-    const wasHeld = suspect.heldAt !== undefined;
-    suspect.spend();
+    const wasHeld = suspect.quarantinedAt !== undefined;
+    suspect.discountCrashes();
     if (!wasHeld) return;
     for (const {onReleased} of this.listeners) onReleased(fingerprint, reason);
   }
@@ -151,69 +151,69 @@
   /** Does what falls due with time; to be called once a second or so. */
   review(): void {
     this.expire();
-    this.holdReturning([...this.suspects.keys()]);
-    this.holdUncertain();
+    this.quarantineRecurrent([...this.suspects.keys()]);
+    this.quarantineUncertain();
   }
 
   /** Lets go what was held back for long enough, and forgets what is too old to count. */
   private expire(): void {
     const now = this.options.clock.now();
     for (const suspect of [...this.suspects.values()]) {
-      const {heldAt, fingerprint} = suspect;
-      if (heldAt !== undefined && now - heldAt >= HOLD_MS)
-        this.release(fingerprint, QuarantineEnd.EXPIRED);
-      const isOld = !suspect.forgetBefore(now - KEPT_MS);
+      const {quarantinedAt: heldAt, fingerprint} = suspect;
+      if (heldAt !== undefined && now - heldAt >= QUARANTINE_MS)
+        this.release(fingerprint, ReleaseReason.EXPIRED);
+      const isOld = !suspect.forgetBefore(now - CRASH_RETENTION_MS);
       if (isOld) this.suspects.delete(fingerprint);
     }
   }
 
-  private openSuspects(): Suspect[] {
+  private releasedSuspects(): SuspectRequest[] {
     return [...this.suspects.values()].filter(
-      ({heldAt}) => heldAt === undefined,
+      ({quarantinedAt: heldAt}) => heldAt === undefined,
     );
   }
 
-  private heldSuspects(): Suspect[] {
+  private quarantinedSuspects(): SuspectRequest[] {
     return [...this.suspects.values()].filter(
-      ({heldAt}) => heldAt !== undefined,
+      ({quarantinedAt: heldAt}) => heldAt !== undefined,
     );
   }
 
-  private add(fingerprint: string, ends: readonly RunnerEnd[]): void {
+  private addCrashes(fingerprint: string, ends: readonly RunnerCrash[]): void {
     const counted = ends.filter(({weight}) => weight > 0);
     if (counted.length === 0) return;
-    const suspect = this.suspectOf(fingerprint);
+    const suspect = this.touchSuspect(fingerprint);
     const now = this.options.clock.now();
-    for (const end of counted) suspect.add(end, now);
+    for (const end of counted) suspect.addCrash(end, now);
   }
 
   /** Ends of runs that were begun and gave nothing leave no doubt: nobody waits for further news of them. */
-  private holdCertain(fingerprints: readonly string[]): void {
-    this.holdHeaviestFirst(this.suspectsOf(fingerprints), CERTAIN);
+  private quarantineCertain(fingerprints: readonly string[]): void {
+    this.quarantineHeaviestFirst(this.findSuspects(fingerprints), CERTAIN_WEIGHT);
   }
 
   /** Requests that were at ends again after a pause are judged as the only cause of those that nothing else explains. */
-  private holdReturning(fingerprints: readonly string[]): void {
-    const suspects = this.suspectsOf(fingerprints)
-      .filter(({heldAt, ends}) => heldAt === undefined && isEnough(ends.length))
-      .sort((a, b) => b.ends.length - a.ends.length);
+  private quarantineRecurrent(fingerprints: readonly string[]): void {
+    const suspects = this.findSuspects(fingerprints)
+      .filter(({quarantinedAt: heldAt, crashes: ends}) => heldAt === undefined && reachesThreshold(ends.length))
+      .sort((a, b) => b.crashes.length - a.crashes.length);
     const now = this.options.clock.now();
     for (const suspect of suspects) {
-      const ends = judgeReturning({
+      const ends = reweighRecurrentCrashes({
         suspect,
-        open: this.openSuspects(),
-        explained: this.explainedStarts(),
-        settledUntil: now - SETTLE_MS,
+        candidates: this.releasedSuspects(),
+        explained: this.explainedCrashes(),
+        settledUntil: now - PROPAGATION_MS,
       });
       const weight = ends.reduce((sum, end) => sum + end.weight, 0);
-      if (!isEnough(weight)) continue;
+      if (!reachesThreshold(weight)) continue;
       // Other hosts, and the store, are told the weights by which it is held back.
-      for (const end of ends) suspect.add(end, now);
-      this.hold(suspect);
+      for (const end of ends) suspect.addCrash(end, now);
+      this.startQuarantine(suspect);
     }
   }
 
-  private suspectsOf(fingerprints: readonly string[]): Suspect[] {
+  private findSuspects(fingerprints: readonly string[]): SuspectRequest[] {
     return fingerprints.flatMap(
       fingerprint => this.suspects.get(fingerprint) ?? [],
     );
@@ -224,65 +224,65 @@
    * order and at several hosts, so these are judged once all have told; of two that were at the same ends neither is held
    * back until one of them was at a further one.
    */
-  private holdUncertain(): void {
+  private quarantineUncertain(): void {
     const now = this.options.clock.now();
-    const settled = this.openSuspects()
-      .filter(({weight}) => isEnough(weight))
-      .filter(({changedAt}) => now - changedAt >= SETTLE_MS)
-      .filter(suspect => !this.isOneOfSeveral(suspect));
-    this.holdHeaviestFirst(settled, 0);
+    const settled = this.releasedSuspects()
+      .filter(({weight}) => reachesThreshold(weight))
+      .filter(({changedAt}) => now - changedAt >= PROPAGATION_MS)
+      .filter(suspect => !this.isIndistinguishable(suspect));
+    this.quarantineHeaviestFirst(settled, 0);
   }
 
-  private isOneOfSeveral(suspect: Suspect): boolean {
-    return this.openSuspects().some(
-      other => other !== suspect && other.covers(suspect),
+  private isIndistinguishable(suspect: SuspectRequest): boolean {
+    return this.releasedSuspects().some(
+      other => other !== suspect && other.coversCrashesOf(suspect),
     );
   }
 
   /** Ends that the heaviest one explains speak against no other. */
-  private holdHeaviestFirst(
-    suspects: readonly Suspect[],
+  private quarantineHeaviestFirst(
+    suspects: readonly SuspectRequest[],
     minWeight: number,
   ): void {
     const heaviestFirst = suspects
-      .filter(({heldAt, weight}) => heldAt === undefined && isEnough(weight))
+      .filter(({quarantinedAt: heldAt, weight}) => heldAt === undefined && reachesThreshold(weight))
       .sort((a, b) => b.weight - a.weight);
     for (const suspect of heaviestFirst) {
-      const explained = this.explainedStarts();
-      if (isEnough(suspect.weightBesides(explained, minWeight)))
-        this.hold(suspect);
+      const explained = this.explainedCrashes();
+      if (reachesThreshold(suspect.weightExcluding(explained, minWeight)))
+        this.startQuarantine(suspect);
     }
   }
 
-  private hold(suspect: Suspect): void {
-    suspect.heldAt = this.options.clock.now();
-    const held = this.heldSuspects();
-    if (held.length > MAX_HELD) {
+  private startQuarantine(suspect: SuspectRequest): void {
+    suspect.quarantinedAt = this.options.clock.now();
+    const held = this.quarantinedSuspects();
+    if (held.length > MAX_QUARANTINED) {
       const oldest = held.reduce((a, b) =>
-        (b.heldAt ?? 0) < (a.heldAt ?? 0) ? b : a,
+        (b.quarantinedAt ?? 0) < (a.quarantinedAt ?? 0) ? b : a,
       );
-      this.release(oldest.fingerprint, QuarantineEnd.CROWDED);
+      this.release(oldest.fingerprint, ReleaseReason.OVER_CAPACITY);
     }
-    for (const {onHeld} of this.listeners)
-      onHeld(suspect.fingerprint, toPlain(suspect));
+    for (const {onQuarantined: onHeld} of this.listeners)
+      onHeld(suspect.fingerprint, toRunnerCrashes(suspect));
   }
 
-  private explainedStarts(): Set<number> {
-    const starts = this.heldSuspects().flatMap(({ends}) => ends);
+  private explainedCrashes(): Set<number> {
+    const starts = this.quarantinedSuspects().flatMap(({crashes: ends}) => ends);
     return new Set(starts.map(({start}) => start));
   }
 
   /** The least lately changed stand first. */
-  private suspectOf(fingerprint: string): Suspect {
-    const suspect = this.suspects.get(fingerprint) ?? new Suspect(fingerprint);
+  private touchSuspect(fingerprint: string): SuspectRequest {
+    const suspect = this.suspects.get(fingerprint) ?? new SuspectRequest(fingerprint);
     this.suspects.delete(fingerprint);
     this.suspects.set(fingerprint, suspect);
-    if (this.suspects.size > MAX_SUSPECTS) this.forgetOne();
+    if (this.suspects.size > MAX_SUSPECTS) this.evictOldestSuspect();
     return suspect;
   }
 
-  private forgetOne(): void {
-    for (const [fingerprint, {heldAt}] of this.suspects) {
+  private evictOldestSuspect(): void {
+    for (const [fingerprint, {quarantinedAt: heldAt}] of this.suspects) {
       if (heldAt !== undefined) continue;
       this.suspects.delete(fingerprint);
       return;
@@ -290,10 +290,10 @@
   }
 }
 
-function toPlain({ends}: Suspect): RunnerEnd[] {
+function toRunnerCrashes({crashes: ends}: SuspectRequest): RunnerCrash[] {
   return ends.map(({start, weight}) => ({start, weight}));
 }
 
-function isEnough(weight: number): boolean {
-  return weight >= HOLD_WEIGHT - ROUNDING;
+function reachesThreshold(weight: number): boolean {
+  return weight >= QUARANTINE_WEIGHT - WEIGHT_EPSILON;
 }
--- a/packages/decisions/src/calls/rank_by_hash.ts
+++ b/packages/decisions/src/calls/rank_by_hash.ts
@@ -1,9 +1,9 @@
-import {hashText} from './hash_text.js';
+import {hashToFraction} from './hash_to_fraction.js';
 
 /** Orders names for a key by rendezvous hashing, so that all hosts agree without a message. */
 export function rankByHash(key: string, names: readonly string[]): string[] {
   return names
-    .map(name => ({name, score: hashText(`${key}|${name}`)}))
+    .map(name => ({name, score: hashToFraction(`${key}|${name}`)}))
     .sort((a, b) => b.score - a.score || (a.name < b.name ? -1 : 1))
     .map(({name}) => name);
 }
--- a/packages/decisions/src/calls/quarantine_end.ts
+++ b/packages/decisions/src/calls/release_reason.ts
@@ -1,10 +1,10 @@
 /** Why a request is held back no longer; the texts stand in logs. */
-const QuarantineEnd = {
+const ReleaseReason = {
   ANSWERED: 'answered well',
   EXPIRED: 'time is over',
   REMOVED: 'removed from the store',
-  CROWDED: 'too many are held back',
+  OVER_CAPACITY: 'too many are held back',
 } as const;
-type QuarantineEnd = (typeof QuarantineEnd)[keyof typeof QuarantineEnd];
+type ReleaseReason = (typeof ReleaseReason)[keyof typeof ReleaseReason];
 
-export {QuarantineEnd};
+export {ReleaseReason};
--- a/packages/decisions/src/calls/retry_reservation.ts
+++ b/packages/decisions/src/calls/retry_reservation.ts
@@ -2,7 +2,7 @@
   /** Counts the repeat as sent now; false if it may not be sent any more. */
   readonly onSpend: () => boolean;
   /** Gives the room back. */
-  readonly onEnd: () => void;
+  readonly onRelease: () => void;
 }
 
 /** Room in a retry budget for one repeat that is about to be sent. */
@@ -22,6 +22,6 @@
   release(): void {
     if (!this.isOpen) return;
     this.isOpen = false;
-    this.options.onEnd();
+    this.options.onRelease();
   }
 }
--- a/packages/decisions/src/calls/rollout_facts.ts
+++ b/packages/decisions/src/calls/rollout_progress.ts
@@ -1,5 +1,5 @@
 /** What hosts know together of a roll-out under way. */
-export interface RolloutFacts {
+export interface RolloutProgress {
   /** Time since the order, in ms. */
   readonly elapsedMs: number;
   /** Time from the order to its limit, in ms. */
--- a/packages/decisions/src/calls/call_bound.ts
+++ b/packages/decisions/src/calls/runner_rate_limit.ts
@@ -1,5 +1,5 @@
 /** What all hosts together may send to a runner within a window. */
-export interface CallBound {
+export interface RunnerRateLimit {
   /** Calls that it bears in a second. */
   readonly perSecond: number;
   /** Calls that it may get in a window at most: this many times what it bears, */
--- a/packages/decisions/src/calls/session_versions.test.ts
+++ b/packages/decisions/src/calls/session_versions.test.ts
@@ -5,7 +5,7 @@
 
 void test('a session keeps its version for a time after its last call', () => {
   const clock = new VirtualClock();
-  const sessions = new SessionVersions({clock, keepMs: 5_000});
+  const sessions = new SessionVersions({clock, retentionMs: 5_000});
   sessions.set('s', 'v1');
   clock.advance(5_000);
   assert.equal(sessions.get('s'), 'v1');
--- a/packages/decisions/src/calls/session_versions.ts
+++ b/packages/decisions/src/calls/session_versions.ts
@@ -3,10 +3,10 @@
 interface Options {
   readonly clock: Clock;
   /** Time after a session's last call for which its version is kept, in ms. */
-  readonly keepMs: number;
+  readonly retentionMs: number;
 }
 
-interface Pin {
+interface VersionPin {
   version: string;
   lastAt: number;
 }
@@ -14,11 +14,11 @@
 /** Sessions that are remembered at most; the oldest give way. */
 const MAX_SESSIONS = 20_000;
 /** The kept time over the platform's, because a session ends later than its last call starts. */
-const SLACK = 2;
+const RETENTION_FACTOR = 2;
 
 /** Which version each session was served by last. */
 export class SessionVersions {
-  private readonly pins = new Map<string, Pin>();
+  private readonly pins = new Map<string, VersionPin>();
 
   constructor(private readonly options: Options) {}
 
@@ -26,8 +26,8 @@
   get(session: string): string | undefined {
     const pin = this.pins.get(session);
     if (!pin) return undefined;
-    const {clock, keepMs} = this.options;
-    if (clock.now() - pin.lastAt <= keepMs * SLACK) return pin.version;
+    const {clock, retentionMs: keepMs} = this.options;
+    if (clock.now() - pin.lastAt <= keepMs * RETENTION_FACTOR) return pin.version;
     this.pins.delete(session);
     return undefined;
   }
--- a/packages/decisions/src/calls/retry_budget.test.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
-import {RetryBudget} from './retry_budget.js';
-import {RetryWorld} from './testing/retry_world.js';
+import {SharedRetryBudget} from './shared_retry_budget.js';
+import {RetrySimulation} from './testing/retry_simulation.js';
 
 /** What the users' deployments allow all hosts together. */
 const BOUND = {ratio: 0.9, extra: 54, windowMs: 10_000};
@@ -15,36 +15,36 @@
 const TURNS = 20;
 
 /** Something that goes wrong at hosts while their runners fail. */
-type Trouble = (world: RetryWorld, random: SeededRandom) => void;
+type Trouble = (world: RetrySimulation, random: SeededRandom) => void;
 
 const TROUBLES: Readonly<Record<string, Trouble>> = {
   'nothing else': world => world.run(1_000),
   'hosts start again in series': (world, random) => {
     world.run(random.next() * 600);
-    world.restart(random.below(HOSTS));
+    world.restartHost(random.below(HOSTS));
   },
   'all hosts start again at once': (world, random) => {
     world.run(1_000 + random.next() * 9_000);
-    for (let host = 0; host < HOSTS; host++) world.restart(host);
+    for (let host = 0; host < HOSTS; host++) world.restartHost(host);
   },
   'all hosts start again three times in a row': (world, random) => {
     world.run(12_000);
     for (let time = 0; time < 3; time++) {
-      for (let host = 0; host < HOSTS; host++) world.restart(host);
+      for (let host = 0; host < HOSTS; host++) world.restartHost(host);
       world.run(1_500 + random.next() * 1_500);
     }
   },
   'all hosts start again, and know no other one at first': (world, random) => {
-    for (let host = 0; host < HOSTS; host++) world.restart(host, 1);
+    for (let host = 0; host < HOSTS; host++) world.restartHost(host, 1);
     world.run(random.next() * 9_000);
-    for (let host = 0; host < HOSTS; host++) world.believe(host, HOSTS);
+    for (let host = 0; host < HOSTS; host++) world.setBelievedHosts(host, HOSTS);
     world.run(12_000);
   },
   'places are cut off from each other': (world, random) => {
     const places = [3, 3, 3, 2, 2, 2, 2];
-    places.forEach((size, host) => world.believe(host, size));
+    places.forEach((size, host) => world.setBelievedHosts(host, size));
     world.run(random.next() * 20_000);
-    places.forEach((_, host) => world.believe(host, HOSTS));
+    places.forEach((_, host) => world.setBelievedHosts(host, HOSTS));
     world.run(random.next() * 5_000);
   },
   'callers move from hosts to others and back': (world, random) => {
@@ -53,12 +53,12 @@
   },
   'hosts stand still': (world, random) => {
     world.run(random.next() * 2_000);
-    world.freeze(random.below(HOSTS), random.next() * 4_000);
+    world.pauseHost(random.below(HOSTS), random.next() * 4_000);
   },
   'all hosts stand still together': (world, random) => {
     world.run(3_000 + random.next() * 8_000);
     const forMs = random.next() * 4_000;
-    for (let host = 0; host < HOSTS; host++) world.freeze(host, forMs);
+    for (let host = 0; host < HOSTS; host++) world.pauseHost(host, forMs);
   },
 };
 
@@ -72,21 +72,21 @@
     windowMs: 10_000,
   };
   const budgets = [1, 2].map(
-    () => new RetryBudget({...options, hosts: () => 2}),
+    () => new SharedRetryBudget({...options, hosts: () => 2}),
   );
   let firsts = 0;
   let repeats = 0;
   for (let i = 0; i < 400; i++) {
     clock.advance(20);
     const budget = budgets[i % 2];
-    budget.countFirst();
+    budget.recordCall();
     firsts += 1;
-    while (budget.reserve({hasBegun: false})?.spend()) repeats += 1;
+    while (budget.reserve({hasPartialAnswer: false})?.spend()) repeats += 1;
   }
   assert.ok(repeats <= firsts * 0.5 + 8, `${repeats} of ${firsts}`);
   assert.ok(repeats > firsts * 0.4, `${repeats} of ${firsts}`);
   clock.advance(20_000);
-  assert.ok(budgets[0].left <= 8);
+  assert.ok(budgets[0].remaining <= 8);
 });
 
 /** The worst window of some seconds under a trouble, as text; undefined if none had too many retries. */
@@ -99,7 +99,7 @@
   const random = new SeededRandom(seed);
   const load = {perSecond, mostWorkMs, mostConnectMs: MOST_CONNECT_MS};
   const options = {random, hosts: HOSTS, ...load};
-  const world = new RetryWorld({...options, bound: BOUND});
+  const world = new RetrySimulation({...options, bound: BOUND});
   // Hosts have run for a while when it begins.
   world.run(15_000);
   for (let turn = 0; turn < TURNS; turn++) TROUBLES[name](world, random);
@@ -128,8 +128,8 @@
 }
 
 /** The budget of one of seven hosts. */
-function createOne({clock, hasRun}: Lone): RetryBudget {
-  return new RetryBudget({
+function createOne({clock, hasRun}: Lone): SharedRetryBudget {
+  return new SharedRetryBudget({
     clock,
     startedAt: hasRun ? -BOUND.windowMs : 0,
     ratio: () => BOUND.ratio,
@@ -140,9 +140,9 @@
 }
 
 /** Sends repeats as long as the budget lets them through. */
-function spendAll(budget: RetryBudget, hasBegun = false): number {
+function spendAll(budget: SharedRetryBudget, hasBegun = false): number {
   let spent = 0;
-  while (budget.reserve({hasBegun})?.spend()) spent += 1;
+  while (budget.reserve({hasPartialAnswer: hasBegun})?.spend()) spent += 1;
   return spent;
 }
 
@@ -165,23 +165,23 @@
     const budget = createOne({clock, hasRun});
     for (let call = 0; call < 10; call++) {
       clock.advance(1_000);
-      budget.countFirst();
+      budget.recordCall();
       if (call % 3 > 0) continue;
-      assert.ok(budget.reserve({hasBegun: false})?.spend(), `call ${call}`);
+      assert.ok(budget.reserve({hasPartialAnswer: false})?.spend(), `call ${call}`);
     }
   });
 
 void test('the first call of a host that just started is tried three times, and no more is let through', () => {
   const budget = createOne({clock: new VirtualClock(), hasRun: false});
   assert.equal(spendAll(budget), 0);
-  budget.countFirst();
+  budget.recordCall();
   assert.equal(spendAll(budget), 2);
 });
 
 void test('repeats that are about to be sent take their room, and give it back if they are not', () => {
   const budget = createOne({clock: new VirtualClock(), hasRun: false});
-  budget.countFirst();
-  const purpose = {hasBegun: false};
+  budget.recordCall();
+  const purpose = {hasPartialAnswer: false};
   const first = budget.reserve(purpose);
   const second = budget.reserve(purpose);
   assert.equal(budget.reserve(purpose), undefined);
--- a/packages/decisions/src/calls/suspect.ts
+++ b/packages/decisions/src/calls/suspect_request.ts
@@ -1,37 +1,37 @@
-import type {RunnerEnd} from './runner_end.js';
+import type {RunnerCrash} from './runner_crash.js';
 
-interface KnownEnd extends RunnerEnd {
+interface RecordedCrash extends RunnerCrash {
   readonly notedAt: number;
 }
 
 /** Ends kept for one request: more than are needed where all leave doubt. */
-const MAX_ENDS = 16;
+const MAX_CRASHES = 16;
 
 /** A request that was at runners when they ended. */
-export class Suspect {
+export class SuspectRequest {
   /** Since when it is held back, on this host's clock; undefined if it is not. */
-  heldAt: number | undefined;
+  quarantinedAt: number | undefined;
   /** Since when its ends are to be told to other hosts. */
   changedAt = -Infinity;
-  private readonly known = new Map<number, KnownEnd>();
+  private readonly recorded = new Map<number, RecordedCrash>();
   /** Ends that count no longer; they are remembered, as other hosts go on telling them. */
-  private readonly spent = new Set<number>();
+  private readonly discounted = new Set<number>();
 
   constructor(readonly fingerprint: string) {}
 
   /** The ends that count. */
-  get ends(): readonly KnownEnd[] {
-    return [...this.known.values()].filter(({start}) => !this.spent.has(start));
+  get crashes(): readonly RecordedCrash[] {
+    return [...this.recorded.values()].filter(({start}) => !this.discounted.has(start));
   }
 
   /** How much its ends speak against it together. */
   get weight(): number {
-    return this.weightBesides(new Set());
+    return this.weightExcluding(new Set());
   }
 
   /** Whether it was at the end of this start of a runner, and that counts. */
-  wasAt(start: number): boolean {
-    return this.known.has(start) && !this.spent.has(start);
+  wasPresentAt(start: number): boolean {
+    return this.recorded.has(start) && !this.discounted.has(start);
   }
 
   /**
@@ -39,25 +39,25 @@
    *
    * @param pauseMs the pause, in ms
    */
-  countRounds(pauseMs: number): number {
-    const times = this.ends.map(({notedAt}) => notedAt).sort((a, b) => a - b);
+  countEpisodes(pauseMs: number): number {
+    const times = this.crashes.map(({notedAt}) => notedAt).sort((a, b) => a - b);
     return times.filter((at, i) => i === 0 || at - times[i - 1] >= pauseMs)
       .length;
   }
 
   /** Whether it was at all the ends that another one was at. */
-  covers(other: Suspect): boolean {
-    const starts = new Set(this.ends.map(({start}) => start));
-    return other.ends.every(({start}) => starts.has(start));
+  coversCrashesOf(other: SuspectRequest): boolean {
+    const starts = new Set(this.crashes.map(({start}) => start));
+    return other.crashes.every(({start}) => starts.has(start));
   }
 
   /** Takes in an end; of two that tell of the same one the weightier counts. */
-  add({start, weight}: RunnerEnd, now: number): void {
-    const known = this.known.get(start);
+  addCrash({start, weight}: RunnerCrash, now: number): void {
+    const known = this.recorded.get(start);
     if (known && known.weight >= weight) return;
-    this.known.set(start, {start, weight, notedAt: known?.notedAt ?? now});
+    this.recorded.set(start, {start, weight, notedAt: known?.notedAt ?? now});
     this.changedAt = now;
-    if (this.known.size > MAX_ENDS) this.forget([...this.known.keys()][0]);
+    if (this.recorded.size > MAX_CRASHES) this.forget([...this.recorded.keys()][0]);
   }
 
   /**
@@ -65,28 +65,28 @@
    *
    * @param minWeight ends of less weight are left out
    */
-  weightBesides(explained: ReadonlySet<number>, minWeight = 0): number {
-    return this.ends
+  weightExcluding(explained: ReadonlySet<number>, minWeight = 0): number {
+    return this.crashes
       .filter(({start}) => !explained.has(start))
       .filter(({weight}) => weight >= minWeight)
       .reduce((sum, {weight}) => sum + weight, 0);
   }
 
   /** What is known so far counts no longer. */
-  spend(): void {
-    for (const start of this.known.keys()) this.spent.add(start);
-    this.heldAt = undefined;
+  discountCrashes(): void {
+    for (const start of this.recorded.keys()) this.discounted.add(start);
+    this.quarantinedAt = undefined;
   }
 
   /** Forgets ends noted before a time. @returns whether any is left */
   forgetBefore(time: number): boolean {
-    for (const {start, notedAt} of [...this.known.values()])
+    for (const {start, notedAt} of [...this.recorded.values()])
       if (notedAt < time) this.forget(start);
-    return this.known.size > 0;
+    return this.recorded.size > 0;
   }
 
   private forget(start: number): void {
-    this.known.delete(start);
-    this.spent.delete(start);
+    this.recorded.delete(start);
+    this.discounted.delete(start);
   }
 }
--- a/packages/decisions/src/calls/testing/find_limit_excess.ts
+++ b/packages/decisions/src/calls/testing/find_limit_excess.ts
@@ -7,7 +7,7 @@
 }
 
 /** A limit that a runner named, until the next one. */
-interface NamedLimit {
+interface LimitDeclaration {
   /** In ms. */
   readonly at: number;
   readonly perSecond: number;
@@ -17,7 +17,7 @@
   /** All arrivals at one runner, in any order. */
   readonly arrivals: readonly Arrival[];
   /** What it named, in order, without a pause between. */
-  readonly limits: readonly NamedLimit[];
+  readonly limits: readonly LimitDeclaration[];
   /** When it named no limit any more, in ms. */
   readonly until: number;
   /** Time after the first naming from which windows are held against the limit, in ms. */
@@ -57,13 +57,13 @@
         at <= end &&
         boundAt <= end,
     ).length;
-    const window = {until: end, arrived, allowed: allowedIn(end, options)};
-    if (overOf(window) > Math.max(0, overOf(worst))) worst = window;
+    const window = {until: end, arrived, allowed: computeAllowed(end, options)};
+    if (excessOf(window) > Math.max(0, excessOf(worst))) worst = window;
   }
   return worst;
 }
 
-function allowedIn(
+function computeAllowed(
   end: number,
   {limits, windowMs, overage, slack}: Options,
 ): number {
@@ -77,6 +77,6 @@
 }
 
 /** How many arrivals there were over those that are allowed. */
-function overOf(window: LimitExcess | undefined): number {
+function excessOf(window: LimitExcess | undefined): number {
   return window ? window.arrived - window.allowed : 0;
 }
--- a/packages/decisions/src/calls/testing/find_retry_excess.ts
+++ b/packages/decisions/src/calls/testing/find_retry_excess.ts
@@ -26,7 +26,7 @@
 }
 
 /** Windows whose requests may pay for a window's retries begin this much earlier, in windows. */
-const EARLIER_WINDOWS = [0, 0.5, 1];
+const EARNING_WINDOW_OFFSETS = [0, 0.5, 1];
 
 /** Least difference between two times, in ms. */
 const INSTANT_MS = 1e-6;
@@ -41,32 +41,32 @@
   const retries = findRetries(arrivals);
   const sentAt = [...options.sentAt].sort((a, b) => a - b);
   let worst: RetryExcess | undefined;
-  for (const until of findWindowEnds(retries, sentAt, windowMs)) {
+  for (const until of findCandidateEnds(retries, sentAt, windowMs)) {
     const window = {
       until,
       retries: countIn(retries, until - windowMs, until),
-      allowed: allowedIn(sentAt, until, options),
+      allowed: computeAllowed(sentAt, until, options),
     };
-    if (overOf(window) > Math.max(0, overOf(worst))) worst = window;
+    if (excessOf(window) > Math.max(0, excessOf(worst))) worst = window;
   }
   return worst;
 }
 
 /** Ends of the windows at which a retry comes in or is still in, or a request that would pay for it is so no more. */
-function findWindowEnds(
+function findCandidateEnds(
   retries: readonly number[],
   sentAt: readonly number[],
   windowMs: number,
 ): number[] {
   const lastOfRetries = retries.map(at => at + windowMs - INSTANT_MS);
-  const withoutRequest = EARLIER_WINDOWS.flatMap(windows =>
+  const withoutRequest = EARNING_WINDOW_OFFSETS.flatMap(windows =>
     sentAt.map(at => at + (1 + windows) * windowMs),
   );
   return [...retries, ...lastOfRetries, ...withoutRequest];
 }
 
 /** How many retries there were over those that are allowed. */
-function overOf(window: RetryExcess | undefined): number {
+function excessOf(window: RetryExcess | undefined): number {
   return window ? window.retries - window.allowed : 0;
 }
 
@@ -82,12 +82,12 @@
   return retries;
 }
 
-function allowedIn(
+function computeAllowed(
   sentAt: readonly number[],
   until: number,
   {ratio, extra, windowMs}: Options,
 ): number {
-  const counts = EARLIER_WINDOWS.map(windows => {
+  const counts = EARNING_WINDOW_OFFSETS.map(windows => {
     const end = until - windows * windowMs;
     return countIn(sentAt, end - windowMs, end);
   });
--- a/packages/decisions/src/calls/testing/retry_world.ts
+++ b/packages/decisions/src/calls/testing/retry_simulation.ts
@@ -1,6 +1,6 @@
 import {VirtualClock} from '@bayspool/kernel';
 import type {RandomSource} from '@bayspool/kernel';
-import {RetryBudget} from '../retry_budget.js';
+import {SharedRetryBudget} from '../shared_retry_budget.js';
 import {findRetryExcess} from './find_retry_excess.js';
 
 interface Options {
@@ -13,10 +13,10 @@
   /** Longest time until a connection for a retry is there, in ms. */
   readonly mostConnectMs: number;
   /** Retries that all hosts together may send. */
-  readonly bound: Bound;
+  readonly bound: RetryBound;
 }
 
-interface Bound {
+interface RetryBound {
   readonly ratio: number;
   readonly extra: number;
   readonly windowMs: number;
@@ -28,27 +28,27 @@
 }
 
 /** One life of a host. */
-interface Host {
-  readonly budget: RetryBudget;
+interface HostRun {
+  readonly budget: SharedRetryBudget;
   /** Most hosts that it ever took to share the allowance. */
-  mostBelieved: number;
+  maxBelievedHosts: number;
   /** What happens to it waits until then, in ms. */
-  frozenUntil: number;
+  pausedUntil: number;
 }
 
 /** Runners that one request may reach. */
-const ATTEMPTS = 3;
+const MAX_ATTEMPTS = 3;
 /** Share of the requests of which a caller holds a piece when they fail. */
-const BEGUN_SHARE = 0.5;
+const PARTIAL_ANSWER_SHARE = 0.5;
 const MS_PER_SECOND = 1_000;
 
 /**
  * Hosts with a budget each, whose runners fail all they run, on a virtual clock: what arrives at the runners is as much
  * as the budgets let through.
  */
-export class RetryWorld {
+export class RetrySimulation {
   private readonly clock = new VirtualClock();
-  private readonly hosts: Host[];
+  private readonly hosts: HostRun[];
   private readonly arrivals: Arrival[] = [];
   private readonly sentAt: number[] = [];
 
@@ -76,19 +76,19 @@
    *
    * @param believed hosts that it takes to share the allowance from then on
    */
-  restart(index: number, believed = this.options.hosts): void {
+  restartHost(index: number, believed = this.options.hosts): void {
     this.hosts[index] = this.createHost(believed);
   }
 
   /** Sets how many hosts a host takes to share the allowance. */
-  believe(index: number, hosts: number): void {
+  setBelievedHosts(index: number, hosts: number): void {
     const host = this.hosts[index];
-    host.mostBelieved = Math.max(host.mostBelieved, hosts);
+    host.maxBelievedHosts = Math.max(host.maxBelievedHosts, hosts);
   }
 
   /** A host stands still. */
-  freeze(index: number, forMs: number): void {
-    this.hosts[index].frozenUntil = this.clock.now() + forMs;
+  pauseHost(index: number, forMs: number): void {
+    this.hosts[index].pausedUntil = this.clock.now() + forMs;
   }
 
   /** The worst window in which there were more retries than are allowed; undefined if there was none. */
@@ -97,17 +97,17 @@
     return findRetryExcess({...options.bound, arrivals, sentAt});
   }
 
-  private createHost(believed: number): Host {
+  private createHost(believed: number): HostRun {
     const {ratio, extra, windowMs} = this.options.bound;
-    const budget: RetryBudget = new RetryBudget({
+    const budget: SharedRetryBudget = new SharedRetryBudget({
       clock: this.clock,
       ratio: () => ratio,
       extra: () => extra,
       windowMs,
       startedAt: this.clock.now(),
-      hosts: () => host.mostBelieved,
+      hosts: () => host.maxBelievedHosts,
     });
-    const host: Host = {budget, mostBelieved: believed, frozenUntil: 0};
+    const host: HostRun = {budget, maxBelievedHosts: believed, pausedUntil: 0};
     return host;
   }
 
@@ -115,33 +115,33 @@
     const host = this.hosts[index];
     const id = `r${this.sentAt.length}`;
     this.sentAt.push(this.clock.now());
-    this.atHost(host, 0, () => {
-      host.budget.countFirst();
-      this.attempt(host, id, 1);
+    this.scheduleAtHost(host, 0, () => {
+      host.budget.recordCall();
+      this.sendAttempt(host, id, 1);
     });
   }
 
-  private attempt(host: Host, id: string, count: number): void {
+  private sendAttempt(host: HostRun, id: string, count: number): void {
     this.arrivals.push({id, at: this.clock.now()});
-    if (count === ATTEMPTS) return;
+    if (count === MAX_ATTEMPTS) return;
     const {random, mostWorkMs, mostConnectMs} = this.options;
     const workMs = random.next() * mostWorkMs;
-    const hasBegun = random.next() < BEGUN_SHARE;
-    this.atHost(host, workMs, () => {
-      const reservation = host.budget.reserve({hasBegun});
+    const hasBegun = random.next() < PARTIAL_ANSWER_SHARE;
+    this.scheduleAtHost(host, workMs, () => {
+      const reservation = host.budget.reserve({hasPartialAnswer: hasBegun});
       if (!reservation) return;
-      this.atHost(host, random.next() * mostConnectMs, () => {
-        if (reservation.spend()) this.attempt(host, id, count + 1);
+      this.scheduleAtHost(host, random.next() * mostConnectMs, () => {
+        if (reservation.spend()) this.sendAttempt(host, id, count + 1);
       });
     });
   }
 
   /** Does something at a host after a delay, once it does not stand still; not if it was started again meanwhile. */
-  private atHost(host: Host, delayMs: number, action: () => void): void {
+  private scheduleAtHost(host: HostRun, delayMs: number, action: () => void): void {
     this.clock.after(delayMs, () => {
       if (!this.hosts.includes(host)) return;
-      const frozenMs = host.frozenUntil - this.clock.now();
-      if (frozenMs > 0) this.atHost(host, frozenMs, action);
+      const frozenMs = host.pausedUntil - this.clock.now();
+      if (frozenMs > 0) this.scheduleAtHost(host, frozenMs, action);
       else action();
     });
   }
--- a/packages/decisions/src/calls/version_tally.ts
+++ b/packages/decisions/src/calls/version_outcomes.ts
@@ -1,5 +1,5 @@
 /** What callers got from one version, summed over routes and hosts. */
-export interface VersionTally {
+export interface VersionOutcomes {
   /** Answers and attempts that ended. */
   readonly ended: number;
   /** Those that failed: errors of the runner, broken or silent answers. */
--- a/packages/gateway/src/beliefs/cordons.ts
+++ b/packages/gateway/src/beliefs/cordons.ts
@@ -1,4 +1,4 @@
-import type {PlaceOrder} from '@bayspool/decisions/calls';
+import type {CordonOrder} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
@@ -13,7 +13,7 @@
   readonly reader: WireReader;
 }
 
-type Listener = (order: PlaceOrder) => void;
+type Listener = (order: CordonOrder) => void;
 
 /** Places whose runners get no new calls, by order of the operator. Calls that run there end well. */
 export class Cordons {
--- a/packages/gateway/src/beliefs/wire_reader.ts
+++ b/packages/gateway/src/beliefs/wire_reader.ts
@@ -1,6 +1,6 @@
 import type {
   CallConfiguration,
-  PlaceOrder,
+  CordonOrder,
   RolloutOrder,
   RolloutState,
   RunnerEntry,
@@ -15,7 +15,7 @@
   /** Undefined if the record is no order for a roll-out. */
   readOrder(record: KeyedRecord): RolloutOrder | undefined;
   /** Undefined if the record is no order on a place; one that was removed is the end of the order. */
-  readPlaceOrder(record: KeyedRecord): PlaceOrder | undefined;
+  readPlaceOrder(record: KeyedRecord): CordonOrder | undefined;
   readRunner(record: KeyedRecord): RunnerEntry;
   /** Undefined if the record is not about a roll-out. */
   readState(record: KeyedRecord): RolloutState | undefined;
--- a/packages/gateway/src/calls/admission.ts
+++ b/packages/gateway/src/calls/admission.ts
@@ -1,8 +1,8 @@
-import type {CallRoute, KeyHolder} from '@bayspool/decisions/calls';
+import type {CallRoute, ApiKeyOwner} from '@bayspool/decisions/calls';
 
 /** What a request that may run was found to be for. */
 export interface Admission {
   readonly route: CallRoute;
   /** Whose key it came with, if it came with a known one. */
-  readonly holder?: KeyHolder;
+  readonly holder?: ApiKeyOwner;
 }
--- a/packages/gateway/src/calls/answer_judge.ts
+++ b/packages/gateway/src/calls/answer_judge.ts
@@ -1,7 +1,7 @@
 import type {
-  AnswerWeighing,
-  CascadeRule,
-  LargestOutlook,
+  CascadeDecision,
+  ModelCascade,
+  LargestModelForecast,
 } from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
@@ -20,7 +20,7 @@
   readonly metrics: GatewayMetrics;
   readonly directory: RunnerDirectory;
   readonly chooser: RunnerChooser;
-  readonly cascade: CascadeRule;
+  readonly cascade: ModelCascade;
   readonly repeats: RepeatRule;
   /** The shortest latency target of a service's routes, in ms. */
   readonly targetOf: (service: string) => number;
@@ -42,14 +42,14 @@
     const {route} = call;
     if (model === undefined || route.models.length === 0) return true;
     this.noteOpinion(progress, model, confidence);
-    if (model === cascade.strongestModel(route)) return true;
+    if (model === cascade.largestModel(route)) return true;
     if (!repeats.canEscalate(progress)) return true;
     const largest = this.outlook(progress);
     if (!largest) return true;
     const elapsedMs = clock.now() - call.acceptedAt;
     const tokens = call.prompt?.tokens ?? 0;
     const answer = {route, model, confidence, tokens, elapsedMs, largest};
-    const weighing = cascade.weigh(answer);
+    const weighing = cascade.evaluateAnswer(answer);
     this.report(answer, call.id, weighing);
     return weighing.isUsed;
   }
@@ -63,17 +63,17 @@
     const {cascade} = this.options;
     const {smallOpinion, call} = progress;
     if (confidence === undefined) return;
-    if (model !== cascade.strongestModel(call.route))
+    if (model !== cascade.largestModel(call.route))
       progress.smallOpinion = confidence;
     else if (smallOpinion !== undefined)
-      cascade.opinions.notePair(smallOpinion, confidence);
+      cascade.calibration.recordPair(smallOpinion, confidence);
   }
 
   /** What asking the largest model would mean; undefined if no runner could take the call. */
-  private outlook(progress: CallProgress): LargestOutlook | undefined {
+  private outlook(progress: CallProgress): LargestModelForecast | undefined {
     const {cascade, targetOf, chooser, directory, choose} = this.options;
     const {route, service} = progress.call;
-    const choice = choose(progress, cascade.strongestModel(route));
+    const choice = choose(progress, cascade.largestModel(route));
     if (!choice) return undefined;
     const pendingMs = chooser.meanPendingMs(directory.takersOf(service));
     return {
@@ -84,9 +84,9 @@
   }
 
   private report(
-    answer: Parameters<CascadeRule['weigh']>[0],
+    answer: Parameters<ModelCascade['evaluateAnswer']>[0],
     request: string,
-    {isUsed, goodShare, worthNow, worthLarge}: AnswerWeighing,
+    {isUsed, goodShare, worthNow, worthLarge}: CascadeDecision,
   ): void {
     const {log, metrics} = this.options;
     const {route, model, confidence, elapsedMs, largest} = answer;
--- a/packages/gateway/src/calls/attempt_lessons.ts
+++ b/packages/gateway/src/calls/attempt_lessons.ts
@@ -119,7 +119,7 @@
     } else if (isFailure(kind)) {
       this.countFailure(runner, reason, FAILURE_WEIGHT);
     } else {
-      runner.health.countOk();
+      runner.health.recordSuccess();
     }
   }
 
@@ -160,13 +160,13 @@
     const {directory, log} = this.options;
     const {health, entry} = runner;
     const remote = runner.others.load;
-    health.countFailure(weight);
+    health.recordFailure(weight);
     const others = directory
       .takersOf(entry.service)
       .filter(other => other !== runner);
     const othersShare = failureShare(others);
-    const ownFailed = health.failedWeight;
-    const forMs = health.ejectIfWorse(othersShare, remote.ok, remote.failed);
+    const ownFailed = health.failureWeight;
+    const forMs = health.ejectIfOutlier(othersShare, remote.ok, remote.failed);
     if (forMs === undefined) return;
     log.write('runner_ejected', {
       runner: entry.id,
@@ -220,8 +220,8 @@
   let ok = 0;
   let failed = 0;
   for (const {health, others} of runners) {
-    ok += health.okWeight + others.load.ok;
-    failed += health.failedWeight + others.load.failed;
+    ok += health.successWeight + others.load.ok;
+    failed += health.failureWeight + others.load.failed;
   }
   return failed / Math.max(1, ok + failed);
 }
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -1,9 +1,9 @@
 import type {
-  CascadeRule,
+  ModelCascade,
   Quarantine,
-  RetryBudget,
+  SharedRetryBudget,
   SessionVersions,
-  UrgentFirst,
+  PriorityAdmission,
 } from '@bayspool/decisions/calls';
 import type {Clock, RandomSource} from '@bayspool/kernel';
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
@@ -49,7 +49,7 @@
   readonly gate: RunnerGate;
   readonly prefixes: PrefixBook;
   readonly rates: ReadingRates;
-  readonly cascade: CascadeRule;
+  readonly cascade: ModelCascade;
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** The shortest latency target of a service's routes, in ms. */
@@ -57,9 +57,9 @@
   /** How old what other hosts told of loads is, in ms. */
   readonly loadsAgeMs: () => number;
   /** The retry budget of a service. */
-  readonly budgetOf: (service: string) => RetryBudget;
+  readonly budgetOf: (service: string) => SharedRetryBudget;
   /** Who gets what runners of a service take, where that is less than is wanted. */
-  readonly urgentFirstOf: (service: string) => UrgentFirst;
+  readonly urgentFirstOf: (service: string) => PriorityAdmission;
 }
 
 /** Share of other work beside its own with which a prompt's time still tells the engine's rate. */
@@ -119,13 +119,13 @@
     const {cascade, budgetOf, quarantine, urgentFirstOf} = this.options;
     const {route, service} = call;
     const model =
-      route.models.length > 0 ? cascade.firstModel(route) : call.model;
+      route.models.length > 0 ? cascade.chooseFirstModel(route) : call.model;
     const progress = new CallProgress({call, model});
-    const heldForMs = quarantine.heldForMs(call.fingerprint);
+    const heldForMs = quarantine.remainingMs(call.fingerprint);
     if (heldForMs > 0)
       return this.final.refuseHeld(progress, caller, heldForMs);
-    budgetOf(service).countFirst();
-    urgentFirstOf(service).noteWanted(call.priority);
+    budgetOf(service).recordCall();
+    urgentFirstOf(service).recordRequested(call.priority);
     for (;;) {
       const choice = this.placement.choose(progress);
       if (progress.withheld > 0) this.withheld.tell(progress);
@@ -220,7 +220,7 @@
     const {gate, urgentFirstOf} = this.options;
     const {service, priority} = progress.call;
     const refusal = gate.admit(runner) ?? this.repeats.pay(progress);
-    if (refusal === undefined) urgentFirstOf(service).noteSent(priority);
+    if (refusal === undefined) urgentFirstOf(service).recordSent(priority);
     return refusal;
   }
 
--- a/packages/gateway/src/calls/call_placement.ts
+++ b/packages/gateway/src/calls/call_placement.ts
@@ -1,5 +1,5 @@
-import {RolloutPhase, watchedRunners} from '@bayspool/decisions/calls';
-import type {Quarantine, UrgentFirst} from '@bayspool/decisions/calls';
+import {RolloutPhase, chooseCanaryRunners} from '@bayspool/decisions/calls';
+import type {Quarantine, PriorityAdmission} from '@bayspool/decisions/calls';
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
 import type {RolloutBook} from '../rollouts/rollout_book.js';
 import {VersionReason} from '../rollouts/version_reason.js';
@@ -22,7 +22,7 @@
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** Who gets what runners of a service take, where that is less than is wanted. */
-  readonly urgentFirstOf: (service: string) => UrgentFirst;
+  readonly urgentFirstOf: (service: string) => PriorityAdmission;
 }
 
 /** Runners of a begun answer's version that may be out of reach before the version counts as gone. */
@@ -81,7 +81,7 @@
     // An answer that has begun goes on: its caller holds a part of it.
     if (open.length === known.length || begunBy !== undefined) return open;
     const urgentFirst = urgentFirstOf(call.service);
-    const mayUse = urgentFirst.mayUse(call.priority, gate.perSecond(known));
+    const mayUse = urgentFirst.canAdmit(call.priority, gate.perSecond(known));
     return mayUse ? open : [];
   }
 
@@ -170,7 +170,7 @@
     const old = takers.filter(({entry}) => entry.version !== version);
     const fresh = allowed.filter(({health}) => !health.isEjected);
     if (old.length === 0 || fresh.length === 0) return allowed;
-    const watched = watchedRunners({fresh, old});
+    const watched = chooseCanaryRunners({fresh, old});
     return watched.length < fresh.length ? watched : allowed;
   }
 }
--- a/packages/gateway/src/calls/repeat_rule.ts
+++ b/packages/gateway/src/calls/repeat_rule.ts
@@ -1,8 +1,8 @@
-import {CallKind, isRepeatable} from '@bayspool/decisions/calls';
+import {CallKind, isRetryable} from '@bayspool/decisions/calls';
 import type {
-  CascadeRule,
+  ModelCascade,
   Quarantine,
-  RetryBudget,
+  SharedRetryBudget,
 } from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {EventLog} from '../observability/event_log.js';
@@ -21,10 +21,10 @@
   readonly metrics: GatewayMetrics;
   readonly candidates: CallCandidates;
   readonly gate: RunnerGate;
-  readonly cascade: CascadeRule;
+  readonly cascade: ModelCascade;
   readonly quarantine: Quarantine;
   /** The retry budget of a service. */
-  readonly budgetOf: (service: string) => RetryBudget;
+  readonly budgetOf: (service: string) => SharedRetryBudget;
 }
 
 /** Time under which another attempt cannot bring an answer, in ms. */
@@ -47,13 +47,13 @@
     const again =
       this.isRepeatAllowed(progress, outcome, leftMs) &&
       this.reserve(progress, budget);
-    const {firsts, repeats, hosts} = budget.basis;
+    const {calls: firsts, retries: repeats, hosts} = budget.windowCounts;
     log.write('retry_decided', {
       request: call.id,
       attempt: progress.tries,
       again,
       reason: outcome.reason,
-      budgetLeft: roundHundredths(budget.left),
+      budgetLeft: roundHundredths(budget.remaining),
       firstsInWindow: firsts,
       repeatsInWindow: repeats,
       hosts,
@@ -61,7 +61,7 @@
     });
     if (!again) return false;
     if (outcome.kind === AttemptKind.WEAK)
-      progress.model = this.options.cascade.strongestModel(call.route);
+      progress.model = this.options.cascade.largestModel(call.route);
     metrics.repeats.inc({service: call.service, reason: outcome.kind});
     return true;
   }
@@ -72,11 +72,11 @@
     return isPaid ? undefined : 'retry budget is spent';
   }
 
-  private reserve(progress: CallProgress, budget: RetryBudget): boolean {
+  private reserve(progress: CallProgress, budget: SharedRetryBudget): boolean {
     // What has not arrived at a runner yet is no repeat.
     if (progress.sent === 0) return true;
     const hasBegun = progress.begunBy !== undefined;
-    progress.reservation = budget.reserve({hasBegun});
+    progress.reservation = budget.reserve({hasPartialAnswer: hasBegun});
     if (progress.reservation) return true;
     const {id: request, service} = progress.call;
     this.options.log.write('budget_spent', {request, service});
@@ -90,11 +90,11 @@
   ): boolean {
     const {call} = progress;
     if (leftMs < MIN_LEFT_MS || progress.tries >= MAX_TRIES) return false;
-    if (this.options.quarantine.heldForMs(call.fingerprint) > 0) return false;
+    if (this.options.quarantine.remainingMs(call.fingerprint) > 0) return false;
     if (progress.sent >= call.route.attempts) return false;
     if (outcome.kind === AttemptKind.NOT_RUN) return true;
     if (outcome.kind === AttemptKind.WEAK) return true;
-    return isRepeatable(call.route.kind);
+    return isRetryable(call.route.kind);
   }
 
   /** Whether an answer of a small model may be dropped for one of the largest. */
@@ -104,14 +104,14 @@
     if (call.route.kind !== CallKind.RESUMABLE) return false;
     if (progress.sent + 1 >= call.route.attempts) return false;
     if (call.deadlineAt - clock.now() < MIN_LEFT_MS) return false;
-    return budgetOf(call.service).left >= 1 + KEPT_FOR_FAILURES;
+    return budgetOf(call.service).remaining >= 1 + KEPT_FOR_FAILURES;
   }
 
   /** Whether another runner could take the call if this one falls silent. */
   canMove(progress: CallProgress, from: Runner): boolean {
     const {call} = progress;
     if (progress.sent + 1 >= call.route.attempts) return false;
-    if (this.options.budgetOf(call.service).left < 1) return false;
+    if (this.options.budgetOf(call.service).remaining < 1) return false;
     const {candidates, gate} = this.options;
     const sound = candidates
       .of(call)
--- a/packages/gateway/src/calls/request_check.ts
+++ b/packages/gateway/src/calls/request_check.ts
@@ -2,7 +2,7 @@
 import type {
   CallConfiguration,
   CallRoute,
-  KeyHolder,
+  ApiKeyOwner,
 } from '@bayspool/decisions/calls';
 import type {RandomSource} from '@bayspool/kernel';
 import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
@@ -79,7 +79,7 @@
   private findHolder(
     {headers}: IncomingMessage,
     {keys}: CallConfiguration,
-  ): KeyHolder | undefined {
+  ): ApiKeyOwner | undefined {
     const key = headers[this.options.names.apiKey];
     return typeof key === 'string' ? keys?.get(key) : undefined;
   }
@@ -87,7 +87,7 @@
   private checkKey(
     {keys}: CallConfiguration,
     route: CallRoute,
-    holder: KeyHolder | undefined,
+    holder: ApiKeyOwner | undefined,
   ): OwnAnswer | undefined {
     const {belief, maxKeyAgeMs, mayPredateConfiguration} = this.options;
     if (!keys || route.isPublic) return undefined;
--- a/packages/gateway/src/calls/request_lessons.ts
+++ b/packages/gateway/src/calls/request_lessons.ts
@@ -1,4 +1,4 @@
-import {isStreamed, hashBits, weighRunnerEnd} from '@bayspool/decisions/calls';
+import {isStreamed, hashToUint32, weighRunnerCrash} from '@bayspool/decisions/calls';
 import type {Quarantine} from '@bayspool/decisions/calls';
 import type {EventLog} from '../observability/event_log.js';
 import type {Runner} from '../runners/runner.js';
@@ -30,7 +30,7 @@
   ): void {
     const {quarantine} = this.options;
     if (outcome.kind === AttemptKind.ANSWERED)
-      quarantine.noteAnswer(call.fingerprint);
+      quarantine.recordAnswer(call.fingerprint);
     else if (outcome.isCutOff) this.noteEnd(call, runner, attempt);
   }
 
@@ -38,16 +38,16 @@
     const {log, quarantine} = this.options;
     const {fingerprint, id: request, route} = call;
     const {hasHead, sinceHeadMs, firstAt, isAlone} = attempt;
-    const weight = weighRunnerEnd({
+    const weight = weighRunnerCrash({
       isStreamed: isStreamed(route.kind),
       hasHead,
       sinceHeadMs,
       isAlone,
-      hasPieces: firstAt !== undefined,
+      hasBodyBytes: firstAt !== undefined,
     });
     if (weight === 0) return;
     const start = startOf(runner.entry);
-    quarantine.noteEnds(fingerprint, [{start: hashBits(start), weight}]);
+    quarantine.recordCrashes(fingerprint, [{start: hashToUint32(start), weight}]);
     log.write('runner_end_counted', {
       request,
       fingerprint,
--- a/packages/gateway/src/calls/to_call.ts
+++ b/packages/gateway/src/calls/to_call.ts
@@ -1,8 +1,8 @@
 import type {IncomingMessage} from 'node:http';
 import {
   chooseService,
-  commonRegions,
-  fingerprintOf,
+  intersectRegions,
+  fingerprintRequest,
 } from '@bayspool/decisions/calls';
 import type {Admission} from './admission.js';
 import type {HeaderNames} from './header_names.js';
@@ -44,13 +44,13 @@
     id,
     method,
     path,
-    fingerprint: fingerprintOf({method, hostName, path, workspace, body}),
+    fingerprint: fingerprintRequest({method, hostName, path, workspace, body}),
     rawHeaders: request.rawHeaders,
     body,
     route,
     service: chooseService(route, sessionId ?? id),
     workspace,
-    regions: commonRegions(route.regions, holder?.regions),
+    regions: intersectRegions(route.regions, holder?.regions),
     priority: holder?.priority ?? route.priority,
     acceptedAt,
     deadlineAt:
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 import {isDeepStrictEqual} from 'node:util';
-import {CascadeRule} from '@bayspool/decisions/calls';
+import {ModelCascade} from '@bayspool/decisions/calls';
 import type {Timer} from '@bayspool/kernel';
 import {CallCandidates} from './calls/call_candidates.js';
 import {CallDoor} from './calls/call_door.js';
@@ -280,7 +280,7 @@
         isAssigned: runner => assigned.isOneFor(runner),
         lostPlaces: () => roster.lostPlaces(),
       }),
-      cascade: new CascadeRule(),
+      cascade: new ModelCascade(),
       budgetOf: service => limits.budgetOf(service),
       urgentFirstOf: service => limits.urgentFirstOf(service),
       loadsAgeMs: () => loads.ageMs,
--- a/packages/gateway/src/parts/host_loads.ts
+++ b/packages/gateway/src/parts/host_loads.ts
@@ -54,7 +54,7 @@
           rollout.digest(this.oldRunning(rollout)),
         ]),
     );
-    const quarantine = this.options.quarantine.news();
+    const quarantine = this.options.quarantine.createDigest();
     return {runners, rollouts, parts: this.ownParts(), quarantine};
   }
 
@@ -71,7 +71,7 @@
       if (keys) prefixes.takeNews(runner.entry.id, keys);
     }
     this.options.rollouts.noteRemote(rollouts);
-    if (quarantine) this.options.quarantine.take(quarantine);
+    if (quarantine) this.options.quarantine.mergeDigest(quarantine);
   }
 
   private ownParts(): PartNews {
--- a/packages/gateway/src/parts/knowledge.ts
+++ b/packages/gateway/src/parts/knowledge.ts
@@ -1,5 +1,5 @@
 import {Quarantine, SessionVersions} from '@bayspool/decisions/calls';
-import type {CallBound, RunnerEntry} from '@bayspool/decisions/calls';
+import type {RunnerRateLimit, RunnerEntry} from '@bayspool/decisions/calls';
 import {ConfigurationBelief} from '../beliefs/configuration_belief.js';
 import {Cordons} from '../beliefs/cordons.js';
 import {RunnerDirectory} from '../beliefs/runner_directory.js';
@@ -164,7 +164,7 @@
     });
     this.sessions = new SessionVersions({
       clock,
-      keepMs: settings.sessionKeptMs,
+      retentionMs: settings.sessionKeptMs,
     });
     this.rollouts = new RolloutBook({
       clock,
@@ -226,7 +226,7 @@
 
 function limitTolerance(
   settings: GatewaySettings,
-): Omit<CallBound, 'perSecond'> {
+): Omit<RunnerRateLimit, 'perSecond'> {
   return {
     overage: settings.limitOverage,
     slack: settings.limitSlack,
--- a/packages/gateway/src/parts/observe_parts.ts
+++ b/packages/gateway/src/parts/observe_parts.ts
@@ -87,7 +87,7 @@
   metrics.observe(
     'quarantined_requests',
     'Requests that are held back, as runners ended under them',
-    () => quarantine.held().length,
+    () => quarantine.quarantinedFingerprints().length,
   );
   metrics.observeEach(
     'runners',
--- a/packages/gateway/src/parts/service_limits.ts
+++ b/packages/gateway/src/parts/service_limits.ts
@@ -1,5 +1,5 @@
-import {RetryBudget, UrgentFirst} from '@bayspool/decisions/calls';
-import type {CallBound} from '@bayspool/decisions/calls';
+import {SharedRetryBudget, PriorityAdmission} from '@bayspool/decisions/calls';
+import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
 import type {GatewaySettings} from '../gateway_settings.js';
@@ -29,8 +29,8 @@
 
 /** What this host may use of each service, by the configuration and the number of hosts. */
 export class ServiceLimits {
-  private readonly budgets = new Map<string, RetryBudget>();
-  private readonly urgentFirsts = new Map<string, UrgentFirst>();
+  private readonly budgets = new Map<string, SharedRetryBudget>();
+  private readonly urgentFirsts = new Map<string, PriorityAdmission>();
 
   private readonly startedAt: number;
 
@@ -48,7 +48,7 @@
   }
 
   /** What runners of the service bear while they are slow from their start; undefined if nothing bounds it. */
-  coldBoundOf(service: string): CallBound | undefined {
+  coldBoundOf(service: string): RunnerRateLimit | undefined {
     const {belief, settings} = this.options;
     const perSecond = belief.current?.services.get(service)?.coldCallsPerSecond;
     if (perSecond === undefined) return undefined;
@@ -57,11 +57,11 @@
   }
 
   /** The retry budget of a service. */
-  budgetOf(service: string): RetryBudget {
+  budgetOf(service: string): SharedRetryBudget {
     const known = this.budgets.get(service);
     if (known) return known;
     const {clock, settings, retryWindowMs, roster} = this.options;
-    const budget = new RetryBudget({
+    const budget = new SharedRetryBudget({
       clock,
       ratio: () => settings().retryRatio,
       extra: () => settings().retryExtra,
@@ -74,18 +74,18 @@
   }
 
   /** Who gets what runners of a service take, where that is less than is wanted. */
-  urgentFirstOf(service: string): UrgentFirst {
+  urgentFirstOf(service: string): PriorityAdmission {
     const known = this.urgentFirsts.get(service);
     if (known) return known;
     const {clock} = this.options;
-    const rule = new UrgentFirst({clock, windowMs: URGENT_WINDOW_MS});
+    const rule = new PriorityAdmission({clock, windowMs: URGENT_WINDOW_MS});
     this.urgentFirsts.set(service, rule);
     return rule;
   }
 
   /** Repeats that this host may still send, by service. */
   budgetsLeft(): MetricSample[] {
-    return [...this.budgets].map(([service, {left}]) => ({
+    return [...this.budgets].map(([service, {remaining: left}]) => ({
       labels: {service},
       value: left,
     }));
--- a/packages/gateway/src/peers/load_digest.ts
+++ b/packages/gateway/src/peers/load_digest.ts
@@ -1,6 +1,6 @@
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
 import type {PartNews} from '../runners/part_news.js';
-import type {QuarantineNews} from '@bayspool/decisions/calls';
+import type {QuarantineDigest} from '@bayspool/decisions/calls';
 
 /** What one host, or the hosts of a place together, have at the runners and saw of them. */
 export interface LoadDigest {
@@ -12,5 +12,5 @@
   /** Parts of prompts that runners read lately; hosts of an earlier version tell none. */
   readonly parts?: PartNews;
   /** Requests under which runners ended; hosts of an earlier version tell none. */
-  readonly quarantine?: QuarantineNews;
+  readonly quarantine?: QuarantineDigest;
 }
--- a/packages/gateway/src/peers/rollout_ages.test.ts
+++ b/packages/gateway/src/peers/rollout_ages.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {mayMoveSessions} from '@bayspool/decisions/calls';
+import {canShiftSessions} from '@bayspool/decisions/calls';
 import {VirtualClock} from '@bayspool/kernel';
 import fc from 'fast-check';
 import {EventLog} from '../observability/event_log.js';
@@ -173,7 +173,7 @@
   const {lagMs} = host;
   if (Number.isFinite(lagMs))
     assert.ok(elapsedMs >= ageMs - lagMs - ROUNDING_MS, `${ageMs - elapsedMs}`);
-  const mayMove = mayMoveSessions({elapsedMs: ageMs, durationMs: DURATION_MS});
+  const mayMove = canShiftSessions({elapsedMs: ageMs, durationMs: DURATION_MS});
   if (!mayMove) assert.equal(host.rollout.shareOf({hasSession: true}), 0);
 }
 
--- a/packages/gateway/src/quarantine/merge_quarantine_news.ts
+++ b/packages/gateway/src/quarantine/merge_quarantine_news.ts
@@ -1,15 +1,15 @@
-import type {QuarantineNews, RunnerEnd} from '@bayspool/decisions/calls';
+import type {QuarantineDigest, RunnerCrash} from '@bayspool/decisions/calls';
 
 /** Requests in what several hosts tell together, at most: 30 KB with three ends each, of what one host of a place answers another. */
 const MAX_REQUESTS = 256;
 
 /** What several hosts tell of requests under which runners ended: ends are sets, so it counts each of them once. */
 export function mergeQuarantineNews(
-  all: ReadonlyArray<QuarantineNews | undefined>,
-): QuarantineNews | undefined {
+  all: ReadonlyArray<QuarantineDigest | undefined>,
+): QuarantineDigest | undefined {
   const told = all.filter(news => news !== undefined);
   if (told.length === 0) return undefined;
-  const ends = new Map<string, Map<number, RunnerEnd>>();
+  const ends = new Map<string, Map<number, RunnerCrash>>();
   for (const news of told)
     for (const [fingerprint, list] of Object.entries(news.ends))
       addAll(ends, fingerprint, list);
@@ -23,12 +23,12 @@
 }
 
 function addAll(
-  ends: Map<string, Map<number, RunnerEnd>>,
+  ends: Map<string, Map<number, RunnerCrash>>,
   fingerprint: string,
-  list: readonly RunnerEnd[],
+  list: readonly RunnerCrash[],
 ): void {
   if (!ends.has(fingerprint) && ends.size >= MAX_REQUESTS) return;
-  const known = ends.get(fingerprint) ?? new Map<number, RunnerEnd>();
+  const known = ends.get(fingerprint) ?? new Map<number, RunnerCrash>();
   ends.set(fingerprint, known);
   for (const end of list) {
     const weight = known.get(end.start)?.weight ?? -Infinity;
--- a/packages/gateway/src/quarantine/quarantine_keeper.ts
+++ b/packages/gateway/src/quarantine/quarantine_keeper.ts
@@ -1,5 +1,5 @@
-import {QuarantineEnd, rankByHash} from '@bayspool/decisions/calls';
-import type {Quarantine, RunnerEnd} from '@bayspool/decisions/calls';
+import {ReleaseReason, rankByHash} from '@bayspool/decisions/calls';
+import type {Quarantine, RunnerCrash} from '@bayspool/decisions/calls';
 import type {Clock, Timer} from '@bayspool/kernel';
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
@@ -42,7 +42,7 @@
     const {mirror, quarantine} = options;
     mirror.onUpdate(update => this.take(update));
     quarantine.onChange({
-      onHeld: (fingerprint, ends) => this.noteHeld(fingerprint, ends),
+      onQuarantined: (fingerprint, ends) => this.noteHeld(fingerprint, ends),
       onReleased: (fingerprint, reason) =>
         this.noteReleased(fingerprint, reason),
     });
@@ -67,7 +67,7 @@
     const {quarantine, refusals, mirror} = this.options;
     try {
       const {ends} = readEntry(quarantineRecordCodec, record);
-      quarantine.noteHeld(quarantineKey.fingerprintOf(record.key), ends);
+      quarantine.restoreRecord(quarantineKey.fingerprintOf(record.key), ends);
     } catch (error) {
       // The request is not held back for it; the hosts that saw the ends do so by themselves.
       refusals.note(mirror.topic, record, error);
@@ -76,10 +76,10 @@
 
   private takeRemoval({key}: KeyedRecord): void {
     const {quarantine} = this.options;
-    quarantine.release(quarantineKey.fingerprintOf(key), QuarantineEnd.REMOVED);
+    quarantine.release(quarantineKey.fingerprintOf(key), ReleaseReason.REMOVED);
   }
 
-  private noteHeld(fingerprint: string, ends: readonly RunnerEnd[]): void {
+  private noteHeld(fingerprint: string, ends: readonly RunnerCrash[]): void {
     const weight = ends.reduce((sum, end) => sum + end.weight, 0);
     this.options.log.write('request_quarantined', {
       fingerprint,
@@ -90,7 +90,7 @@
     this.writeInTurn(fingerprint, value);
   }
 
-  private noteReleased(fingerprint: string, reason: QuarantineEnd): void {
+  private noteReleased(fingerprint: string, reason: ReleaseReason): void {
     this.options.log.write('request_released', {fingerprint, reason});
     this.writeInTurn(fingerprint, undefined);
   }
--- a/packages/gateway/src/quarantine/quarantine_record_codec.ts
+++ b/packages/gateway/src/quarantine/quarantine_record_codec.ts
@@ -1,10 +1,10 @@
-import type {RunnerEnd} from '@bayspool/decisions/calls';
+import type {RunnerCrash} from '@bayspool/decisions/calls';
 import {array, Codec} from 'purify-ts/Codec';
 import {fieldCodecs} from '../records/field_codecs.js';
 
 /** A request that is held back, as it stands in the store: what speaks against it, so that each host judges itself. */
 interface QuarantineRecord {
-  readonly ends: RunnerEnd[];
+  readonly ends: RunnerCrash[];
 }
 
 const {amount, share} = fieldCodecs;
--- a/packages/gateway/src/rollouts/recent_evidence.test.ts
+++ b/packages/gateway/src/rollouts/recent_evidence.test.ts
@@ -3,7 +3,7 @@
 // answers were slow, more than of the new version's.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {judgeVersion} from '@bayspool/decisions/calls';
+import {evaluateVersion} from '@bayspool/decisions/calls';
 import {VirtualClock} from '@bayspool/kernel';
 import {RecentEvidence} from './recent_evidence.js';
 
@@ -39,14 +39,14 @@
   const take = createEvidence();
   take([113, 0, 8], [11_189, 274, 1_277]);
   const seen = take([150, 2, 13], [9_800, 240, 1_120]);
-  assert.equal(judgeVersion(seen), 'open');
+  assert.equal(evaluateVersion(seen), 'open');
 });
 
 void test('a bad version is found although the counts of the old one go back', () => {
   const take = createEvidence();
   take([113, 0, 8], [11_189, 274, 1_277]);
   const seen = take([150, 20, 13], [9_800, 240, 1_120]);
-  assert.equal(judgeVersion(seen), 'bad');
+  assert.equal(evaluateVersion(seen), 'bad');
 });
 
 void test('counts of the new version that go back are no evidence', () => {
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -1,14 +1,14 @@
 import {
   isRecentlyWorse,
   isVersionSuspect,
-  judgeVersion,
+  evaluateVersion,
   RolloutPhase,
 } from '@bayspool/decisions/calls';
 import type {
   ExposureBounds,
-  RolloutFacts,
+  RolloutProgress,
   RolloutOrder,
-  VersionTally,
+  VersionOutcomes,
 } from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {EventLog} from '../observability/event_log.js';
@@ -213,7 +213,7 @@
   }
 
   /** What all hosts saw of the two versions, on all routes together. */
-  get tallies(): {readonly fresh: VersionTally; readonly old: VersionTally} {
+  get tallies(): {readonly fresh: VersionOutcomes; readonly old: VersionOutcomes} {
     const {fresh, old} = this.pooled();
     return {
       fresh: sumOfAll(fresh),
@@ -260,15 +260,15 @@
     for (const chosen of [names, ...names.map(name => [name])]) {
       const fresh = sumOf(seen.fresh, chosen);
       const old = sumOf(seen.old, chosen);
-      if (judgeVersion({fresh, old}) !== 'bad') continue;
-      if (judgeVersion({fresh, old: sumOf(usual.old, chosen)}) !== 'bad')
+      if (evaluateVersion({fresh, old}) !== 'bad') continue;
+      if (evaluateVersion({fresh, old: sumOf(usual.old, chosen)}) !== 'bad')
         continue;
       return this.convict(`${of}, ${chosen.join(' ')}`, seen, fresh, old);
     }
   }
 
   /** What hosts know together, as far as this one has heard, with some of their counts. */
-  private facts(counts: ReturnType<VersionRates['take']>): RolloutFacts {
+  private facts(counts: ReturnType<VersionRates['take']>): RolloutProgress {
     this.sumEvidence();
     return {
       ...counts,
@@ -333,11 +333,11 @@
   return counts;
 }
 
-function sumOfAll(cells: RolloutDigest['fresh']): VersionTally {
+function sumOfAll(cells: RolloutDigest['fresh']): VersionOutcomes {
   return sumOf(cells, Object.keys(cells));
 }
 
-function sumOf(cells: RolloutDigest['fresh'], names: string[]): VersionTally {
+function sumOf(cells: RolloutDigest['fresh'], names: string[]): VersionOutcomes {
   const sum = {ended: 0, failed: 0, slow: 0};
   for (const name of names) {
     const [ended, failed, slow] = cells[name] ?? [0, 0, 0];
--- a/packages/gateway/src/rollouts/rollout_book.ts
+++ b/packages/gateway/src/rollouts/rollout_book.ts
@@ -1,4 +1,4 @@
-import {hashText, RolloutPhase} from '@bayspool/decisions/calls';
+import {hashToFraction, RolloutPhase} from '@bayspool/decisions/calls';
 import type {
   ExposureBounds,
   RolloutOrder,
@@ -142,7 +142,7 @@
     if (remembered === version) return VersionReason.SESSION_NEW;
     if (!this.options.isInTouch()) return outOfTouch(rollout);
     const share = rollout.shareOf({hasSession: session !== undefined});
-    const isInShare = hashText(`${offset}|${session ?? key}`) < share;
+    const isInShare = hashToFraction(`${offset}|${session ?? key}`) < share;
     if (!isInShare) return VersionReason.OUTSIDE_SHARE;
     if (session === undefined && !rollout.hasRoom) return VersionReason.NO_ROOM;
     return share === 1 ? VersionReason.WHOLE : VersionReason.IN_SHARE;
--- a/packages/gateway/src/rollouts/rollout_evidence.ts
+++ b/packages/gateway/src/rollouts/rollout_evidence.ts
@@ -1,4 +1,4 @@
-import type {VersionTally} from '@bayspool/decisions/calls';
+import type {VersionOutcomes} from '@bayspool/decisions/calls';
 import type {AnswerTimes} from './answer_times.js';
 import {Baseline} from './baseline.js';
 import type {TallyCell} from './tally_cell.js';
@@ -113,7 +113,7 @@
     const cells = isFresh ? this.fresh : this.old;
     const known = cells.get(name);
     if (known) return known;
-    const cell: TallyCell & VersionTally = {ended: 0, failed: 0, slow: 0};
+    const cell: TallyCell & VersionOutcomes = {ended: 0, failed: 0, slow: 0};
     cells.set(name, cell);
     return cell;
   }
--- a/packages/gateway/src/rollouts/version_rates.ts
+++ b/packages/gateway/src/rollouts/version_rates.ts
@@ -1,4 +1,4 @@
-import type {RolloutFacts} from '@bayspool/decisions/calls';
+import type {RolloutProgress} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import {CallRate} from './call_rate.js';
 
@@ -13,7 +13,7 @@
 }
 
 type Counts = Pick<
-  RolloutFacts,
+  RolloutProgress,
   'sentAll' | 'sentFresh' | 'callsPerMs' | 'freshPerMs'
 >;
 
--- a/packages/gateway/src/runners/cold_bound.ts
+++ b/packages/gateway/src/runners/cold_bound.ts
@@ -1,5 +1,5 @@
-import {coldShare} from '@bayspool/decisions/calls';
-import type {CallBound} from '@bayspool/decisions/calls';
+import {computeColdRunnerShare} from '@bayspool/decisions/calls';
+import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import {KeptByRunner} from './kept_by_runner.js';
 import type {Runner} from './runner.js';
@@ -15,7 +15,7 @@
   /** Names of all hosts entered. */
   readonly allHosts: () => readonly string[];
   /** What cold runners of a service bear; undefined if the platform sets no bound. */
-  readonly limitsOf: (service: string) => CallBound | undefined;
+  readonly limitsOf: (service: string) => RunnerRateLimit | undefined;
 }
 
 /** Window over which calls to a cold runner are counted, in ms: the second of the bound, and how far arrivals shift against it. */
@@ -51,6 +51,6 @@
     // Hosts of its own place reach it on the shortest way, and most calls stay in their place.
     const near = hostsOf(place);
     const hosts = near.length > 0 ? near : allHosts();
-    return coldShare({runner: id, host, hosts, limits});
+    return computeColdRunnerShare({runner: id, host, hosts, limits});
   }
 }
--- a/packages/gateway/src/runners/limit_bound.ts
+++ b/packages/gateway/src/runners/limit_bound.ts
@@ -1,5 +1,5 @@
-import {callShare, callsWithin, rankByHash} from '@bayspool/decisions/calls';
-import type {CallBound} from '@bayspool/decisions/calls';
+import {computeHostShare, computeWindowQuota, rankByHash} from '@bayspool/decisions/calls';
+import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import {KeptByRunner} from './kept_by_runner.js';
 import type {Runner} from './runner.js';
@@ -13,7 +13,7 @@
   /** Names of all hosts entered, whether they answer or not, so that all hosts agree on them; none while they are not known. */
   readonly hosts: () => readonly string[];
   /** What the platform allows over a limit, and in which window. */
-  readonly tolerance: () => Omit<CallBound, 'perSecond'>;
+  readonly tolerance: () => Omit<RunnerRateLimit, 'perSecond'>;
 }
 
 /** Where a host stands among those that share a runner's limit. */
@@ -59,8 +59,8 @@
     const {ageMs} = runner.limit;
     const tolerance = this.options.tolerance();
     const standing = this.standings.of(runner);
-    const calls = callsWithin({...tolerance, perSecond});
-    const own = callShare({...standing, calls, leastCalls: 1});
+    const calls = computeWindowQuota({...tolerance, perSecond});
+    const own = computeHostShare({...standing, calls, minUsefulCalls: 1});
     const isDue = isTurn(standing, ageMs, lookPauseMs(perSecond));
     const share = Math.max(own, isDue ? 1 : 0);
     const windowMs = tolerance.windowMs + WINDOW_MARGIN_MS;
--- a/packages/gateway/src/runners/prefix_book.ts
+++ b/packages/gateway/src/runners/prefix_book.ts
@@ -1,4 +1,4 @@
-import {hashBits} from '@bayspool/decisions/calls';
+import {hashToUint32} from '@bayspool/decisions/calls';
 import type {Prompt, PromptPart} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {PartNews} from './part_news.js';
@@ -92,5 +92,5 @@
 }
 
 function keyOf(model: string, {id}: PromptPart): number {
-  return hashBits(`${model}|${id}`);
+  return hashToUint32(`${model}|${id}`);
 }
--- a/packages/gateway/src/runners/runner.ts
+++ b/packages/gateway/src/runners/runner.ts
@@ -1,4 +1,4 @@
-import {hashBits, RunnerHealth} from '@bayspool/decisions/calls';
+import {hashToUint32, OutlierDetector} from '@bayspool/decisions/calls';
 import type {RunnerEntry} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import type {ConnectionPool} from './connection_pool.js';
@@ -40,7 +40,7 @@
 
 /** One start of a runner as this host knows it: its entry, connections, load and outcomes. */
 export class Runner {
-  readonly health: RunnerHealth;
+  readonly health: OutlierDetector;
   readonly pool: ConnectionPool;
   /** What other hosts have there. */
   readonly others: OthersLoad;
@@ -66,9 +66,9 @@
   constructor(private readonly options: Options) {
     this.current = options.entry;
     this.noteCold(options.entry);
-    this.idHash = hashBits(options.entry.id);
+    this.idHash = hashToUint32(options.entry.id);
     this.pool = options.pool;
-    this.health = new RunnerHealth({clock: options.clock});
+    this.health = new OutlierDetector({clock: options.clock});
     this.lastHeard = options.clock.now();
     this.others = new OthersLoad(options);
     this.limit = new RunnerLimit({
@@ -119,8 +119,8 @@
     return {
       running: this.running,
       pendingMs: this.pendingMs,
-      ok: this.health.okWeight,
-      failed: this.health.failedWeight,
+      ok: this.health.successWeight,
+      failed: this.health.failureWeight,
     };
   }
 
--- a/packages/gateway/src/runners/runner_chooser.ts
+++ b/packages/gateway/src/runners/runner_chooser.ts
@@ -1,4 +1,4 @@
-import {hashBits, mixHashes} from '@bayspool/decisions/calls';
+import {hashToUint32, combineHashes} from '@bayspool/decisions/calls';
 import type {Prompt} from '@bayspool/decisions/calls';
 import type {RandomSource} from '@bayspool/kernel';
 import type {PrefixBook} from './prefix_book.js';
@@ -103,7 +103,7 @@
   ): Runner | undefined {
     const deepest = prompt?.parts[prompt.parts.length - 2];
     if (!deepest) return undefined;
-    const part = hashBits(`${model}|${deepest.id}`);
+    const part = hashToUint32(`${model}|${deepest.id}`);
     const isFit = (runner: Runner) =>
       isOpen(runner, tried) && isSound(runner, lost);
     const home = firstFor(part, candidates);
@@ -249,7 +249,7 @@
   let first: Runner | undefined;
   let highest = -1;
   for (const runner of runners) {
-    const score = mixHashes(part, runner.idHash);
+    const score = combineHashes(part, runner.idHash);
     if (score <= highest) continue;
     first = runner;
     highest = score;
--- a/packages/gateway/src/testing/gateway_fixture.ts
+++ b/packages/gateway/src/testing/gateway_fixture.ts
@@ -1,6 +1,6 @@
 import {Agent, request as startRequest} from 'node:http';
 import {CallKind} from '@bayspool/decisions/calls';
-import type {CallRoute, KeyHolder} from '@bayspool/decisions/calls';
+import type {CallRoute, ApiKeyOwner} from '@bayspool/decisions/calls';
 import {AgeClock, SeededRandom, SystemClock} from '@bayspool/kernel';
 import {Gateway} from '../gateway.js';
 import type {GatewaySettings} from '../gateway_settings.js';
@@ -120,7 +120,7 @@
   /** Puts a configuration with these routes into the store. */
   configure(
     routes: ReadonlyArray<Partial<CallRoute>>,
-    keys?: Readonly<Record<string, KeyHolder>>,
+    keys?: Readonly<Record<string, ApiKeyOwner>>,
     extra: {readonly coldCallsPerSecond?: number} = {},
   ): void {
     this.version += 3;
--- a/packages/gateway/src/testing/plain_reader.ts
+++ b/packages/gateway/src/testing/plain_reader.ts
@@ -1,8 +1,8 @@
 import type {
   CallConfiguration,
   CallRoute,
-  KeyHolder,
-  PlaceOrder,
+  ApiKeyOwner,
+  CordonOrder,
   RolloutOrder,
   RolloutState,
   RunnerEntry,
@@ -18,7 +18,7 @@
   /** Of all services. */
   readonly coldCallsPerSecond?: number;
   readonly limits: CallConfiguration['limits'];
-  readonly keys?: Readonly<Record<string, KeyHolder>>;
+  readonly keys?: Readonly<Record<string, ApiKeyOwner>>;
 }
 
 const ROLLOUT_PREFIX = 'rollout/';
@@ -49,7 +49,7 @@
     return {...(JSON.parse(value) as RolloutOrder), offset};
   }
 
-  readPlaceOrder({key, value}: KeyedRecord): PlaceOrder | undefined {
+  readPlaceOrder({key, value}: KeyedRecord): CordonOrder | undefined {
     if (!key.startsWith(CORDON_PREFIX)) return undefined;
     const place = key.slice(CORDON_PREFIX.length);
     return {place, isCordoned: value !== undefined};
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_world.ts
@@ -1,4 +1,4 @@
-import {RolloutPhase, watchedRunners} from '@bayspool/decisions/calls';
+import {RolloutPhase, chooseCanaryRunners} from '@bayspool/decisions/calls';
 import type {RolloutState} from '@bayspool/decisions/calls';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
 import {meanEventMs} from '../calls/mean_event_ms.js';
@@ -320,7 +320,7 @@
   private choose(isFresh: boolean, isWatched: boolean): WorldRunner {
     const {fresh, old} = this.runners;
     const all = isFresh ? fresh : old;
-    const some = isFresh && isWatched ? watchedRunners({fresh, old}) : all;
+    const some = isFresh && isWatched ? chooseCanaryRunners({fresh, old}) : all;
     return some.reduce((a, b) => (b.totalRunning < a.totalRunning ? b : a));
   }
 
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/rollout_world_host.ts
@@ -55,7 +55,7 @@
     const notes = new TopicMirror(Topic.HOSTS);
     this.ownStore = store.share();
     this.mirrors = [notes, states, orders];
-    this.sessions = new SessionVersions({clock, keepMs: SESSION_KEPT_MS});
+    this.sessions = new SessionVersions({clock, retentionMs: SESSION_KEPT_MS});
     const starts = new RolloutStarts({
       clock,
       refusals,
