--- a/packages/gateway/src/calls/attempt.test.ts
+++ b/packages/gateway/src/calls/attempt.test.ts
@@ -6,12 +6,12 @@
 import {Runner} from '../runners/runner.js';
 import {plainHeaderNames as names} from '../testing/plain_header_names.js';
 import {Attempt} from './attempt.js';
-import {AttemptKind} from './attempt_kind.js';
-import type {CallerAnswer} from './caller_answer.js';
-import {CallEnd} from './call_end.js';
+import {OutcomeKind} from './outcome_kind.js';
+import type {CallerResponse} from './caller_response.js';
+import {AbortReason} from './abort_reason.js';
 import {CallProgress} from './call_progress.js';
 import type {IncomingCall} from './incoming_call.js';
-import {RunnerHeaders} from './runner_headers.js';
+import {RunnerHeaderBuilder} from './runner_header_builder.js';
 
 const clock = new SystemClock();
 
@@ -77,14 +77,14 @@
   };
   return new Attempt({
     clock,
-    names,
-    runnerHeaders: new RunnerHeaders(names),
+    headerNames: names,
+    headerBuilder: new RunnerHeaderBuilder(names),
     call: makeCall(),
     choice,
-    caller: {isFull: false, longestPauseMs: 0} as unknown as CallerAnswer,
+    caller: {isFull: false, longestPauseMs: 0} as unknown as CallerResponse,
     signal,
     admit,
-    isGoodEnough: () => true,
+    acceptsConfidence: () => true,
     hasOtherRunner: () => false,
   });
 }
@@ -96,10 +96,10 @@
     const runner = makeRunner();
     const controller = new AbortController();
     const attempt = makeAttempt(runner, controller.signal);
-    setTimeout(() => controller.abort(CallEnd.TIME_LIMIT), 30);
+    setTimeout(() => controller.abort(AbortReason.TIME_LIMIT), 30);
     const startedAt = performance.now();
     const outcome = await attempt.run();
-    assert.equal(outcome.kind, AttemptKind.UNSENT);
+    assert.equal(outcome.kind, OutcomeKind.UNSENT);
     assert.ok(performance.now() - startedAt < 300);
     assert.equal(runner.totalRunning, 0);
   },
@@ -107,9 +107,9 @@
 
 void test('an unsent attempt counts neither as run nor as sent', () => {
   const progress = new CallProgress({call: makeCall()});
-  progress.note(makeRunner(), {kind: AttemptKind.UNSENT, reason: 'left'});
+  progress.recordOutcome(makeRunner(), {kind: OutcomeKind.UNSENT, reason: 'left'});
   assert.equal(progress.mayHaveRun, false);
-  assert.equal(progress.sent, 0);
+  assert.equal(progress.sentCount, 0);
 });
 
 void test('a request that must not be sent any more when its connection is up is kept back, and blames nobody', async () => {
@@ -123,7 +123,7 @@
     () => 'place cordoned',
   );
   const outcome = await attempt.run();
-  assert.equal(outcome.kind, AttemptKind.NOT_RUN);
+  assert.equal(outcome.kind, OutcomeKind.NOT_RUN);
   assert.ok(outcome.isWithheld);
   assert.equal(released, 1);
 });
--- a/packages/gateway/src/calls/attempt_lessons.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -8,11 +8,11 @@
 import type {ReadingRates} from '../runners/reading_rates.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
-import {AttemptKind} from './attempt_kind.js';
+import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {AttemptTiming} from './attempt_timing.js';
 import type {CallProgress} from './call_progress.js';
-import {expectedFirstMs} from './expected_first_ms.js';
+import {estimateLatencyMs} from './estimate_latency_ms.js';
 import {roundHundredths} from '../observability/round_hundredths.js';
 
 interface Options {
@@ -31,10 +31,10 @@
 /** Weight of a failed answer: the unit of the others. */
 const FAILURE_WEIGHT = 1;
 /** Part of a route's latency target that a call without a prompt is expected to take. */
-const USUAL_TARGET_PART = 0.5;
+const USUAL_TARGET_SHARE = 0.5;
 
 /** What an attempt teaches: the health and speed of its runner, and evidence on its version. */
-export class AttemptLessons {
+export class AttemptRecorder {
   constructor(private readonly options: Options) {}
 
   /**
@@ -42,24 +42,24 @@
    *
    * @returns what is to be called at its end
    */
-  begin(
+  recordStart(
     progress: CallProgress,
     choice: RunnerChoice,
     waitedMs: () => number | undefined,
   ): () => void {
-    const rollout = this.activeRollout(progress.call.service);
+    const rollout = this.findActiveRollout(progress.call.service);
     if (!rollout) return () => undefined;
     const {version} = choice.runner.entry;
     const isFresh = version === rollout.order.version;
-    const cellName = cellOf(progress);
-    const expectedMs = expectedOf(progress, expectedFirstMs(choice));
+    const cellName = evidenceCellOf(progress);
+    const expectedMs = expectedByPromptMs(progress, estimateLatencyMs(choice));
     rollout.evidence.noteSent(isFresh);
-    if (!tellsBySpeed(progress, rollout)) return () => undefined;
+    if (!isLatencyComparable(progress, rollout)) return () => undefined;
     return rollout.evidence.watch({cellName, isFresh, expectedMs, waitedMs});
   }
 
   /** Takes the outcome into what is believed of the runner and its version. */
-  learn(
+  recordEnd(
     progress: CallProgress,
     choice: RunnerChoice,
     outcome: AttemptOutcome,
@@ -69,15 +69,15 @@
     const {call} = progress;
     const {runner} = choice;
     metrics.attempts.inc({service: call.service, outcome: outcome.kind});
-    this.keepSession(call.session, runner.entry.version);
+    this.updateSession(call.session, runner.entry.version);
     if (timing.firstMs !== undefined)
-      this.learnSpeed(progress, choice, timing.firstMs, timing);
-    this.learnHealth(runner, outcome, timing.wasQuiet);
-    this.noteEvidence(progress, runner, outcome.kind, timing);
+      this.recordLatency(progress, choice, timing.firstMs, timing);
+    this.recordHealth(runner, outcome, timing.wasQuiet);
+    this.recordEvidence(progress, runner, outcome.kind, timing);
   }
 
   /** Its session goes on from the end of a call; a long answer of the old version does not take it back. */
-  private keepSession(session: string | undefined, version: string): void {
+  private updateSession(session: string | undefined, version: string): void {
     if (session === undefined) return;
     const {sessions} = this.options;
     const known = sessions.get(session);
@@ -85,7 +85,7 @@
       sessions.set(session, version);
   }
 
-  private learnSpeed(
+  private recordLatency(
     {call, model}: CallProgress,
     {runner, unreadTokens}: RunnerChoice,
     firstMs: number,
@@ -94,7 +94,7 @@
     // What a runner does while it is slow from its start says nothing of the time after.
     if (runner.isCold) return;
     if (!call.prompt) {
-      const usualMs = call.route.latencyTargetMs * USUAL_TARGET_PART;
+      const usualMs = call.route.latencyTargetMs * USUAL_TARGET_SHARE;
       runner.learnSlowness(firstMs, usualMs);
       return;
     }
@@ -103,17 +103,17 @@
     this.options.rates.learn(model, unreadTokens, firstMs, isUnloaded);
   }
 
-  private learnHealth(
+  private recordHealth(
     runner: Runner,
     {kind, reason, status, isWithheld}: AttemptOutcome,
     wasQuiet: boolean,
   ): void {
-    if (kind === AttemptKind.UNSENT || isWithheld) return;
-    if (kind === AttemptKind.ENDED) {
+    if (kind === OutcomeKind.UNSENT || isWithheld) return;
+    if (kind === OutcomeKind.CALL_ENDED) {
       // A runner that sent nothing until the time limit is as good as gone.
       if (wasQuiet)
         this.countFailure(runner, 'silent to the end', SILENT_WEIGHT);
-    } else if (kind === AttemptKind.NOT_RUN) {
+    } else if (kind === OutcomeKind.NOT_RUN) {
       if (status === undefined && reason !== 'saturated')
         this.countFailure(runner, reason, UNREACHABLE_WEIGHT);
     } else if (isFailure(kind)) {
@@ -123,27 +123,27 @@
     }
   }
 
-  private noteEvidence(
+  private recordEvidence(
     progress: CallProgress,
     runner: Runner,
-    kind: AttemptKind,
+    kind: OutcomeKind,
     timing: AttemptTiming,
   ): void {
-    const rollout = this.activeRollout(progress.call.service);
+    const rollout = this.findActiveRollout(progress.call.service);
     if (!rollout) return;
     const {evidence, order} = rollout;
     const isFresh = runner.entry.version === order.version;
-    const cell = cellOf(progress);
+    const cell = evidenceCellOf(progress);
     const {forMs} = timing;
-    const expectedMs = expectedOf(progress, timing.expectedMs);
+    const expectedMs = expectedByPromptMs(progress, timing.expectedMs);
     // A small model's answer that is not used ends with its head, of which a slow version's comes late too.
-    const headMs = kind === AttemptKind.WEAK ? forMs : timing.firstMs;
-    const isTelling = tellsBySpeed(progress, rollout);
+    const headMs = kind === OutcomeKind.LOW_CONFIDENCE ? forMs : timing.firstMs;
+    const isTelling = isLatencyComparable(progress, rollout);
     const firstMs = isTelling ? headMs : undefined;
     const eventMs = isTelling ? timing.eventMs : undefined;
-    if (isTelling && kind === AttemptKind.ENDED && headMs === undefined)
+    if (isTelling && kind === OutcomeKind.CALL_ENDED && headMs === undefined)
       evidence.noteUnanswered(cell, isFresh, {firstMs: forMs, expectedMs});
-    if (tellsOfVersion(kind))
+    if (isVersionEvidence(kind))
       evidence.note(cell, isFresh, isFailure(kind), {
         firstMs,
         expectedMs,
@@ -151,7 +151,7 @@
       });
   }
 
-  private activeRollout(service: string): Rollout | undefined {
+  private findActiveRollout(service: string): Rollout | undefined {
     const rollout = this.options.rollouts.get(service);
     return rollout?.phase === RolloutPhase.ACTIVE ? rollout : undefined;
   }
@@ -164,7 +164,7 @@
     const others = directory
       .takersOf(entry.service)
       .filter(other => other !== runner);
-    const othersShare = failureShare(others);
+    const othersShare = computeFailureShare(others);
     const ownFailed = health.failureWeight;
     const forMs = health.ejectIfOutlier(othersShare, remote.ok, remote.failed);
     if (forMs === undefined) return;
@@ -181,7 +181,7 @@
 }
 
 /** Answers are compared by route and model. */
-function cellOf({call, model}: CallProgress): string {
+function evidenceCellOf({call, model}: CallProgress): string {
   return `${call.route.name}/${model ?? ''}`;
 }
 
@@ -190,7 +190,7 @@
  * all calls move to such runners at once, these wait for each other: at 180 calls a second three of three good versions were
  * not complete in time when that counted as slow.
  */
-function tellsBySpeed(
+function isLatencyComparable(
   {isConcentrated}: CallProgress,
   {isWatched}: Rollout,
 ): boolean {
@@ -198,25 +198,25 @@
 }
 
 /** What was expected by the prompt's length; without a prompt nothing tells. */
-function expectedOf({call}: CallProgress, expectedMs: number): number {
+function expectedByPromptMs({call}: CallProgress, expectedMs: number): number {
   return call.prompt ? expectedMs : 0;
 }
 
 /** Whether the outcome says something of the version that the runner has. */
-function tellsOfVersion(kind: AttemptKind): boolean {
+function isVersionEvidence(kind: OutcomeKind): boolean {
   return (
-    kind !== AttemptKind.ENDED &&
-    kind !== AttemptKind.NOT_RUN &&
-    kind !== AttemptKind.UNSENT
+    kind !== OutcomeKind.CALL_ENDED &&
+    kind !== OutcomeKind.NOT_RUN &&
+    kind !== OutcomeKind.UNSENT
   );
 }
 
-function isFailure(kind: AttemptKind): boolean {
-  return kind === AttemptKind.RUNNER_ERROR || kind === AttemptKind.BROKEN;
+function isFailure(kind: OutcomeKind): boolean {
+  return kind === OutcomeKind.RUNNER_ERROR || kind === OutcomeKind.BROKEN;
 }
 
 /** The share of failures among the outcomes at runners, as seen by all hosts; 0 to 1. */
-function failureShare(runners: readonly Runner[]): number {
+function computeFailureShare(runners: readonly Runner[]): number {
   let ok = 0;
   let failed = 0;
   for (const {health, others} of runners) {
--- a/packages/gateway/src/calls/call_placement.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -22,14 +22,14 @@
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** Who gets what runners of a service take, where that is less than is wanted. */
-  readonly urgentFirstOf: (service: string) => PriorityAdmission;
+  readonly priorityAdmissionOf: (service: string) => PriorityAdmission;
 }
 
 /** Runners of a begun answer's version that may be out of reach before the version counts as gone. */
 const MAX_UNREACHABLE = 3;
 
 /** Decides which runner gets a call's next attempt: the version that it is to have first, then the runner. */
-export class CallPlacement {
+export class AttemptRouter {
   constructor(private readonly options: Options) {}
 
   /** The runner for the next attempt, with a model that may differ from the one asked next; undefined if there is none. */
@@ -38,17 +38,17 @@
     model = progress.model,
   ): RunnerChoice | undefined {
     const {candidates: all, chooser} = this.options;
-    const {call, tried} = progress;
-    const known = all.of(call);
-    const takers = this.openTo(progress, known);
-    const wish = this.wishFor(progress, known);
-    const wished = this.wishedOf(takers, wish, call.service);
+    const {call, triedRunners: tried} = progress;
+    const known = all.listFor(call);
+    const takers = this.filterOpen(progress, known);
+    const wish = this.decideVersion(progress, known);
+    const wished = this.filterByVersion(takers, wish, call.service);
     const isGranted = wished.length > 0;
-    progress.version = {wish, isGranted, known: known.length};
+    progress.versionDecision = {wish, isGranted, candidateCount: known.length};
     // Without a runner of a wished version any will do, but for an answer that has begun.
     const isBound = wish.reason === VersionReason.BEGUN;
     const allowed = isGranted || isBound ? wished : takers;
-    const watched = this.watchedOf(takers, allowed, call.service);
+    const watched = this.narrowToCanaryRunners(takers, allowed, call.service);
     progress.isConcentrated = watched.length < allowed.length;
     const candidates = this.preferIdle(progress, watched);
     const {prompt, body} = call;
@@ -57,27 +57,27 @@
   }
 
   /** Why there is no runner for a call, and when there may be one. */
-  refusalFor({call, begunBy}: CallProgress): CallRefusal {
+  explainRefusal({call, startedByVersion: begunBy}: CallProgress): CallRefusal {
     const {candidates, gate} = this.options;
-    const known = candidates.of(call);
+    const known = candidates.listFor(call);
     const withheld = gate.withheldOf(known);
-    if (withheld.length === 0) return {reason: candidates.reasonForNone(call)};
+    if (withheld.length === 0) return {reason: candidates.explainNone(call)};
     if (withheld.length < known.length && begunBy === undefined)
       return {reason: 'room is kept for more urgent calls'};
     const leastMs = Math.min(...withheld.map(({waitMs}) => waitMs));
     const waitMs = Number.isFinite(leastMs) ? leastMs : undefined;
-    return {reason: 'runners have all that they take', waitMs};
+    return {reason: 'runners have all that they take', minRetryMs: waitMs};
   }
 
   /** Runners that may be sent the call now. */
-  private openTo(
+  private filterOpen(
     progress: CallProgress,
     known: readonly Runner[],
   ): readonly Runner[] {
-    const {gate, urgentFirstOf} = this.options;
-    const {call, begunBy} = progress;
+    const {gate, priorityAdmissionOf: urgentFirstOf} = this.options;
+    const {call, startedByVersion: begunBy} = progress;
     const open = gate.openOf(known);
-    progress.withheld = known.length - open.length;
+    progress.withheldCount = known.length - open.length;
     // An answer that has begun goes on: its caller holds a part of it.
     if (open.length === known.length || begunBy !== undefined) return open;
     const urgentFirst = urgentFirstOf(call.service);
@@ -90,7 +90,7 @@
    * and whether it was the cause is known then.
    */
   private preferIdle(
-    {call, tried}: CallProgress,
+    {call, triedRunners: tried}: CallProgress,
     runners: readonly Runner[],
   ): readonly Runner[] {
     if (this.options.quarantine.weightOf(call.fingerprint) === 0)
@@ -106,13 +106,13 @@
    * An answer is made by one version, whatever its session has by the time at which a runner breaks off, as long as that
    * version has a runner: the end of a roll-out stops the old ones at once, and what their callers hold would be lost.
    */
-  private wishFor(
+  private decideVersion(
     progress: CallProgress,
     takers: readonly Runner[],
   ): VersionWish {
-    const {call, tried, begunBy, failedVersions} = progress;
-    if (begunBy !== undefined && this.hasRunnerOf(begunBy, call, takers)) {
-      if (progress.unreachable < MAX_UNREACHABLE)
+    const {call, triedRunners: tried, startedByVersion: begunBy, failedVersions} = progress;
+    if (begunBy !== undefined && this.hasRunnerOfVersion(begunBy, call, takers)) {
+      if (progress.unreachableCount < MAX_UNREACHABLE)
         return {only: begunBy, reason: VersionReason.BEGUN};
       return {not: begunBy, reason: VersionReason.OUT_OF_REACH};
     }
@@ -129,7 +129,7 @@
   }
 
   /** The end of a roll-out stops the runners of the old version at once; their entries go some seconds later. */
-  private hasRunnerOf(
+  private hasRunnerOfVersion(
     version: string,
     {service}: IncomingCall,
     takers: readonly Runner[],
@@ -144,7 +144,7 @@
   }
 
   /** The runners of a version that is wished; one that appeared before its order waits for that. */
-  private wishedOf(
+  private filterByVersion(
     takers: readonly Runner[],
     {only, not}: VersionWish,
     service: string,
@@ -158,7 +158,7 @@
   }
 
   /** Few calls of a version that is watched go to few of its runners, so that these bear the usual load. */
-  private watchedOf(
+  private narrowToCanaryRunners(
     takers: readonly Runner[],
     allowed: readonly Runner[],
     service: string,
--- a/packages/gateway/src/calls/call_candidates.ts
+++ b/packages/gateway/src/calls/call_candidates.ts
@@ -13,7 +13,7 @@
   constructor(private readonly options: Options) {}
 
   /** Runners of the call's service that take calls, in the regions in which its data may be. */
-  of({service, regions}: IncomingCall): readonly Runner[] {
+  listFor({service, regions}: IncomingCall): readonly Runner[] {
     const {directory, regionOf} = this.options;
     const takers = directory.takersOf(service);
     if (!regions) return takers;
@@ -21,7 +21,7 @@
   }
 
   /** Why a call has no candidate. */
-  reasonForNone({service, regions}: IncomingCall): string {
+  explainNone({service, regions}: IncomingCall): string {
     const isBound = regions !== undefined;
     const hasSome = this.options.directory.takersOf(service).length > 0;
     return isBound && hasSome ? 'no runner in an allowed region' : 'no runner';
--- a/packages/gateway/src/calls/final_answer.ts
+++ b/packages/gateway/src/calls/call_finisher.ts
@@ -3,12 +3,12 @@
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {Runner} from '../runners/runner.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
-import {CallEnd} from './call_end.js';
+import {AbortReason} from './abort_reason.js';
 import type {CallProgress} from './call_progress.js';
 import type {CallRefusal} from './call_refusal.js';
-import type {CallerAnswer} from './caller_answer.js';
-import type {OwnAnswer} from './own_answer.js';
-import {chooseRetryAfter} from './retry_after.js';
+import type {CallerResponse} from './caller_response.js';
+import type {LocalResponse} from './local_response.js';
+import {chooseRetryAfterMs} from './choose_retry_after_ms.js';
 
 interface Options {
   readonly clock: Clock;
@@ -21,19 +21,19 @@
 const STATUS = {BAD_GATEWAY: 502, UNAVAILABLE: 503, GATEWAY_TIMEOUT: 504};
 
 /** The end of a call towards its caller: the last answer, its log entry and its metrics. */
-export class FinalAnswer {
+export class CallFinisher {
   constructor(private readonly options: Options) {}
 
   /** Records an answered call; an answer that was received whole is sent now. */
-  answer(
+  finishAnswered(
     progress: CallProgress,
     outcome: AttemptOutcome,
     runner: Runner,
-    caller: CallerAnswer,
+    caller: CallerResponse,
   ): void {
     const {clock, log, metrics} = this.options;
     const {call} = progress;
-    if (outcome.answer && !caller.isClosed) caller.sendWhole(outcome.answer);
+    if (outcome.response && !caller.isClosed) caller.sendBuffered(outcome.response);
     const {name: route, kind} = call.route;
     const firstAt = caller.firstByteAt ?? clock.now();
     const forMs = clock.now() - call.acceptedAt;
@@ -43,11 +43,11 @@
     log.write('request_answered', {
       request: call.id,
       status: outcome.status ?? 0,
-      attempts: progress.tries,
+      attempts: progress.attemptCount,
       runner: runner.entry.id,
-      events: caller.events || undefined,
+      events: caller.eventCount || undefined,
       firstMs: Math.round(firstAt - call.acceptedAt),
-      longestPauseMs: caller.events
+      longestPauseMs: caller.eventCount
         ? Math.round(caller.longestPauseMs)
         : undefined,
       forMs: Math.round(forMs),
@@ -55,25 +55,25 @@
   }
 
   /** Refuses a call whose request is held back: it has not run, and would only be refused again before then. */
-  refuseHeld(
+  refuseQuarantined(
     progress: CallProgress,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     forMs: number,
   ): void {
     const retryAfterMs = Math.round(forMs);
     const reason = 'held back: runners end under this request';
     const own = {status: STATUS.UNAVAILABLE, reason, retryAfterMs};
-    if (!caller.isClosed) caller.sendOwn(own);
-    this.noteFailed(progress, own);
+    if (!caller.isClosed) caller.sendLocal(own);
+    this.recordFailed(progress, own);
   }
 
   /** Ends a call for which there is no runner now. */
   refuse(
     progress: CallProgress,
-    caller: CallerAnswer,
-    {reason, waitMs}: CallRefusal,
+    caller: CallerResponse,
+    {reason, minRetryMs: waitMs}: CallRefusal,
   ): void {
-    this.finish(progress, caller, reason, waitMs);
+    this.finishUnanswered(progress, caller, reason, waitMs);
   }
 
   /**
@@ -81,45 +81,45 @@
    *
    * @param waitMs time before which it would only be refused again, in ms
    */
-  finish(
+  finishUnanswered(
     progress: CallProgress,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     reason: string,
     waitMs?: number,
   ): void {
     const {clock, log, metrics} = this.options;
     const {call} = progress;
     const forMs = Math.round(clock.now() - call.acceptedAt);
-    const attempts = progress.tries;
+    const attempts = progress.attemptCount;
     const request = call.id;
     const {name: route, kind} = call.route;
-    const why = reasonLabel(reason);
-    if (reason === CallEnd.CALLER_LEFT) {
+    const why = toReasonLabel(reason);
+    if (reason === AbortReason.CALLER_DISCONNECTED) {
       metrics.requests.inc({route, kind, outcome: 'left', reason: why});
       log.write('caller_left', {request, attempts, reason, forMs});
       return;
     }
-    if (caller.hasBegun) {
-      caller.cut();
+    if (caller.hasStarted) {
+      caller.abort();
       metrics.requests.inc({route, kind, outcome: 'cut', reason: why});
       const lastEvent = caller.lastEventId;
       log.write('request_cut', {request, reason, attempts, lastEvent, forMs});
       return;
     }
-    const failed = progress.lastError;
-    if (failed && !caller.isClosed) caller.sendWhole(failed);
-    const own = this.ownAnswer(progress, reason, waitMs);
-    if (!failed && !caller.isClosed) caller.sendOwn(own);
-    this.noteFailed(progress, failed ? {status: failed.status, reason} : own);
+    const failed = progress.lastErrorResponse;
+    if (failed && !caller.isClosed) caller.sendBuffered(failed);
+    const own = this.createLocalResponse(progress, reason, waitMs);
+    if (!failed && !caller.isClosed) caller.sendLocal(own);
+    this.recordFailed(progress, failed ? {status: failed.status, reason} : own);
   }
 
-  private noteFailed(
-    {call, tries, mayHaveRun}: CallProgress,
-    {status, reason, retryAfterMs}: OwnAnswer,
+  private recordFailed(
+    {call, attemptCount: tries, mayHaveRun}: CallProgress,
+    {status, reason, retryAfterMs}: LocalResponse,
   ): void {
     const {clock, log, metrics} = this.options;
     const {name: route, kind} = call.route;
-    const why = reasonLabel(reason);
+    const why = toReasonLabel(reason);
     metrics.requests.inc({route, kind, outcome: 'failed', reason: why});
     log.write('request_failed', {
       request: call.id,
@@ -132,18 +132,18 @@
     });
   }
 
-  private ownAnswer(
+  private createLocalResponse(
     progress: CallProgress,
     reason: string,
     waitMs?: number,
-  ): OwnAnswer {
+  ): LocalResponse {
     const {random} = this.options;
     if (!progress.mayHaveRun) {
-      const retryAfterMs = Math.round(chooseRetryAfter(random, waitMs));
+      const retryAfterMs = Math.round(chooseRetryAfterMs(random, waitMs));
       return {status: STATUS.UNAVAILABLE, reason, retryAfterMs};
     }
     const status =
-      reason === CallEnd.TIME_LIMIT
+      reason === AbortReason.TIME_LIMIT
         ? STATUS.GATEWAY_TIMEOUT
         : STATUS.BAD_GATEWAY;
     return {status, reason};
@@ -151,6 +151,6 @@
 }
 
 /** Reasons as metric labels: a bounded set, without numbers. */
-function reasonLabel(reason: string): string {
+function toReasonLabel(reason: string): string {
   return reason.replace(/[^a-zA-Z ]+/g, '').trim();
 }
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -16,31 +16,31 @@
 import type {RunnerChoice} from '../runners/runner_choice.js';
 import type {RunnerChooser} from '../runners/runner_chooser.js';
 import type {RunnerGate} from '../runners/runner_gate.js';
-import {AnswerJudge} from './answer_judge.js';
+import {EscalationPolicy} from './escalation_policy.js';
 import {Attempt} from './attempt.js';
-import {AttemptKind} from './attempt_kind.js';
-import {AttemptLessons} from './attempt_lessons.js';
+import {OutcomeKind} from './outcome_kind.js';
+import {AttemptRecorder} from './attempt_recorder.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {CallCandidates} from './call_candidates.js';
-import {CallPlacement} from './call_placement.js';
-import type {CallerAnswer} from './caller_answer.js';
+import {AttemptRouter} from './attempt_router.js';
+import type {CallerResponse} from './caller_response.js';
 import {CallProgress} from './call_progress.js';
-import {expectedFirstMs} from './expected_first_ms.js';
-import {meanEventMs} from './mean_event_ms.js';
-import {FinalAnswer} from './final_answer.js';
+import {estimateLatencyMs} from './estimate_latency_ms.js';
+import {computeEventIntervalMs} from './compute_event_interval_ms.js';
+import {CallFinisher} from './call_finisher.js';
 import type {HeaderNames} from './header_names.js';
 import type {IncomingCall} from './incoming_call.js';
-import {RepeatRule} from './repeat_rule.js';
-import {RequestLessons} from './request_lessons.js';
-import {RunnerHeaders} from './runner_headers.js';
-import {WithheldReport} from './withheld_report.js';
+import {RetryPolicy} from './retry_policy.js';
+import {CrashAttribution} from './crash_attribution.js';
+import {RunnerHeaderBuilder} from './runner_header_builder.js';
+import {WithheldRunnerReporter} from './withheld_runner_reporter.js';
 
 interface Options {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  readonly names: HeaderNames;
+  readonly headerNames: HeaderNames;
   readonly directory: RunnerDirectory;
   readonly candidates: CallCandidates;
   readonly rollouts: RolloutBook;
@@ -53,34 +53,34 @@
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** The shortest latency target of a service's routes, in ms. */
-  readonly targetOf: (service: string) => number;
+  readonly latencyTargetOf: (service: string) => number;
   /** How old what other hosts told of loads is, in ms. */
   readonly loadsAgeMs: () => number;
   /** The retry budget of a service. */
-  readonly budgetOf: (service: string) => SharedRetryBudget;
+  readonly retryBudgetOf: (service: string) => SharedRetryBudget;
   /** Who gets what runners of a service take, where that is less than is wanted. */
-  readonly urgentFirstOf: (service: string) => PriorityAdmission;
+  readonly priorityAdmissionOf: (service: string) => PriorityAdmission;
 }
 
 /** Share of other work beside its own with which a prompt's time still tells the engine's rate. */
-const MAX_OTHER_WORK = 0.3;
+const MAX_OTHER_WORK_SHARE = 0.3;
 
 /** Brings a call to a runner, and to further ones where that is allowed and helps. */
 export class CallForwarder {
-  private readonly lessons: AttemptLessons;
-  private readonly requestLessons: RequestLessons;
-  private readonly placement: CallPlacement;
-  private readonly withheld: WithheldReport;
-  private readonly repeats: RepeatRule;
-  private readonly judge: AnswerJudge;
-  private readonly final: FinalAnswer;
-  private readonly runnerHeaders: RunnerHeaders;
+  private readonly attemptRecorder: AttemptRecorder;
+  private readonly crashAttribution: CrashAttribution;
+  private readonly router: AttemptRouter;
+  private readonly withheldReporter: WithheldRunnerReporter;
+  private readonly retryPolicy: RetryPolicy;
+  private readonly escalationPolicy: EscalationPolicy;
+  private readonly finisher: CallFinisher;
+  private readonly headerBuilder: RunnerHeaderBuilder;
 
   constructor(private readonly options: Options) {
     const {clock, random, log, metrics, directory, candidates} = options;
-    const {rollouts, sessions, rates, cascade, quarantine, budgetOf} = options;
+    const {rollouts, sessions, rates, cascade, quarantine, retryBudgetOf: budgetOf} = options;
     const {gate} = options;
-    this.lessons = new AttemptLessons({
+    this.attemptRecorder = new AttemptRecorder({
       log,
       metrics,
       directory,
@@ -88,10 +88,10 @@
       sessions,
       rates,
     });
-    this.placement = new CallPlacement(options);
-    this.withheld = new WithheldReport(options);
-    this.requestLessons = new RequestLessons({log, quarantine});
-    this.repeats = new RepeatRule({
+    this.router = new AttemptRouter(options);
+    this.withheldReporter = new WithheldRunnerReporter(options);
+    this.crashAttribution = new CrashAttribution({log, quarantine});
+    this.retryPolicy = new RetryPolicy({
       clock,
       log,
       metrics,
@@ -99,141 +99,141 @@
       gate,
       cascade,
       quarantine,
-      budgetOf,
+      retryBudgetOf: budgetOf,
     });
-    this.judge = new AnswerJudge({
+    this.escalationPolicy = new EscalationPolicy({
       ...options,
-      repeats: this.repeats,
-      choose: (progress, model) => this.placement.choose(progress, model),
+      retryPolicy: this.retryPolicy,
+      chooseRunner: (progress, model) => this.router.choose(progress, model),
     });
-    this.runnerHeaders = new RunnerHeaders(options.names);
-    this.final = new FinalAnswer({clock, random, log, metrics});
+    this.headerBuilder = new RunnerHeaderBuilder(options.headerNames);
+    this.finisher = new CallFinisher({clock, random, log, metrics});
   }
 
   /** Sends a call to runners until it is answered or has to end, and gives the caller the answer. */
   async forward(
     call: IncomingCall,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     signal: AbortSignal,
   ): Promise<void> {
-    const {cascade, budgetOf, quarantine, urgentFirstOf} = this.options;
+    const {cascade, retryBudgetOf: budgetOf, quarantine, priorityAdmissionOf: urgentFirstOf} = this.options;
     const {route, service} = call;
     const model =
       route.models.length > 0 ? cascade.chooseFirstModel(route) : call.model;
     const progress = new CallProgress({call, model});
     const heldForMs = quarantine.remainingMs(call.fingerprint);
     if (heldForMs > 0)
-      return this.final.refuseHeld(progress, caller, heldForMs);
+      return this.finisher.refuseQuarantined(progress, caller, heldForMs);
     budgetOf(service).recordCall();
     urgentFirstOf(service).recordRequested(call.priority);
     for (;;) {
-      const choice = this.placement.choose(progress);
-      if (progress.withheld > 0) this.withheld.tell(progress);
+      const choice = this.router.choose(progress);
+      if (progress.withheldCount > 0) this.withheldReporter.report(progress);
       if (!choice) {
-        const refusal = this.placement.refusalFor(progress);
-        return this.final.refuse(progress, caller, refusal);
+        const refusal = this.router.explainRefusal(progress);
+        return this.finisher.refuse(progress, caller, refusal);
       }
-      const outcome = await this.attempt(progress, choice, caller, signal);
-      progress.reservation?.release();
-      progress.reservation = undefined;
-      progress.note(choice.runner, outcome);
-      if (outcome.kind === AttemptKind.ANSWERED)
-        return this.final.answer(progress, outcome, choice.runner, caller);
-      if (outcome.kind === AttemptKind.ENDED || signal.aborted)
-        return this.final.finish(progress, caller, String(signal.reason));
-      if (!this.repeats.mayRepeat(progress, outcome))
-        return this.final.finish(progress, caller, outcome.reason);
+      const outcome = await this.runAttempt(progress, choice, caller, signal);
+      progress.retryReservation?.release();
+      progress.retryReservation = undefined;
+      progress.recordOutcome(choice.runner, outcome);
+      if (outcome.kind === OutcomeKind.ANSWERED)
+        return this.finisher.finishAnswered(progress, outcome, choice.runner, caller);
+      if (outcome.kind === OutcomeKind.CALL_ENDED || signal.aborted)
+        return this.finisher.finishUnanswered(progress, caller, String(signal.reason));
+      if (!this.retryPolicy.decideRetry(progress, outcome))
+        return this.finisher.finishUnanswered(progress, caller, outcome.reason);
     }
   }
 
-  private async attempt(
+  private async runAttempt(
     progress: CallProgress,
     choice: RunnerChoice,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
     const {clock} = this.options;
     const {call} = progress;
     const startedAt = clock.now();
-    const expectedMs = expectedFirstMs(choice);
-    const isUnloaded = choice.waitMs < choice.workMs * MAX_OTHER_WORK;
-    this.noteChoice(progress, choice);
-    const eventsBefore = caller.events;
-    const attempt = this.prepare(progress, choice, caller, signal);
-    const endWatch = this.lessons.begin(progress, choice, () =>
-      attempt.firstAt === undefined ? clock.now() - startedAt : undefined,
+    const expectedMs = estimateLatencyMs(choice);
+    const isUnloaded = choice.waitMs < choice.workMs * MAX_OTHER_WORK_SHARE;
+    this.recordChoice(progress, choice);
+    const eventsBefore = caller.eventCount;
+    const attempt = this.createAttempt(progress, choice, caller, signal);
+    const endWatch = this.attemptRecorder.recordStart(progress, choice, () =>
+      attempt.firstOutputAt === undefined ? clock.now() - startedAt : undefined,
     );
     const outcome = await attempt.run();
     endWatch();
-    if (caller.hasBegun) progress.begunBy ??= choice.runner.entry.version;
+    if (caller.hasStarted) progress.startedByVersion ??= choice.runner.entry.version;
     const firstMs =
-      attempt.firstAt === undefined ? undefined : attempt.firstAt - startedAt;
-    const {wasQuiet} = attempt;
+      attempt.firstOutputAt === undefined ? undefined : attempt.firstOutputAt - startedAt;
+    const {wasSilent: wasQuiet} = attempt;
     const forMs = clock.now() - startedAt;
-    const events = caller.events - eventsBefore;
-    const eventMs = meanEventMs(forMs, firstMs, events);
+    const events = caller.eventCount - eventsBefore;
+    const eventMs = computeEventIntervalMs(forMs, firstMs, events);
     const timing = {firstMs, eventMs, forMs, expectedMs, isUnloaded, wasQuiet};
-    this.lessons.learn(progress, choice, outcome, timing);
-    this.requestLessons.learn(call, choice.runner, attempt, outcome);
+    this.attemptRecorder.recordEnd(progress, choice, outcome, timing);
+    this.crashAttribution.recordOutcome(call, choice.runner, attempt, outcome);
     this.options.log.write('attempt_ended', {
       request: call.id,
-      attempt: progress.tries + 1,
+      attempt: progress.attemptCount + 1,
       runner: choice.runner.entry.id,
       outcome: outcome.kind,
       reason: outcome.reason,
       status: outcome.status,
       begun: attempt.hasHead,
       confidence: outcome.confidence,
-      namedLimit: attempt.namedLimit,
+      namedLimit: attempt.declaredLimit,
       firstMs: firstMs === undefined ? undefined : Math.round(firstMs),
-      lastEvent: caller.events > eventsBefore ? caller.lastEventId : undefined,
+      lastEvent: caller.eventCount > eventsBefore ? caller.lastEventId : undefined,
       forMs: Math.round(forMs),
     });
     return outcome;
   }
 
-  private prepare(
+  private createAttempt(
     progress: CallProgress,
     choice: RunnerChoice,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     signal: AbortSignal,
   ): Attempt {
-    const {clock, names} = this.options;
+    const {clock, headerNames: names} = this.options;
     const {call, model} = progress;
     return new Attempt({
       clock,
-      names,
+      headerNames: names,
       admit: () => this.admit(progress, choice.runner),
-      runnerHeaders: this.runnerHeaders,
+      headerBuilder: this.headerBuilder,
       call,
       choice,
       model,
       caller,
       signal,
-      isGoodEnough: confidence => this.judge.isUsed(progress, confidence),
-      hasOtherRunner: () => this.repeats.canMove(progress, choice.runner),
+      acceptsConfidence: confidence => this.escalationPolicy.acceptsResponse(progress, confidence),
+      hasOtherRunner: () => this.retryPolicy.canFailOver(progress, choice.runner),
     });
   }
 
   /** Decides right before a request is sent. @returns why it must not be; undefined if it may, and then it counts as sent */
   private admit(progress: CallProgress, runner: Runner): string | undefined {
-    const {gate, urgentFirstOf} = this.options;
+    const {gate, priorityAdmissionOf: urgentFirstOf} = this.options;
     const {service, priority} = progress.call;
-    const refusal = gate.admit(runner) ?? this.repeats.pay(progress);
+    const refusal = gate.admit(runner) ?? this.retryPolicy.spendReservation(progress);
     if (refusal === undefined) urgentFirstOf(service).recordSent(priority);
     return refusal;
   }
 
-  private noteChoice(progress: CallProgress, choice: RunnerChoice): void {
+  private recordChoice(progress: CallProgress, choice: RunnerChoice): void {
     const {log, metrics, rollouts, prefixes, sessions} = this.options;
     const {call, model} = progress;
     const {entry} = choice.runner;
     if (call.prompt && model !== undefined)
       prefixes.note(entry.id, model, call.prompt);
-    if (call.session !== undefined && progress.begunBy === undefined)
+    if (call.session !== undefined && progress.startedByVersion === undefined)
       sessions.set(call.session, entry.version);
     const hasSession = call.session !== undefined;
-    const {wish, isGranted, known = 0} = progress.version ?? {};
+    const {wish, isGranted, candidateCount: known = 0} = progress.versionDecision ?? {};
     metrics.versionChoices.inc({
       service: entry.service,
       reason: wish?.reason,
@@ -241,7 +241,7 @@
     });
     log.write('runner_chosen', {
       request: call.id,
-      attempt: progress.tries + 1,
+      attempt: progress.attemptCount + 1,
       runner: entry.id,
       service: entry.service,
       version: entry.version,
--- a/packages/gateway/src/calls/call_progress.ts
+++ b/packages/gateway/src/calls/call_progress.ts
@@ -1,10 +1,10 @@
 import type {RetryReservation} from '@bayspool/decisions/calls';
 import type {VersionWish} from '../rollouts/version_wish.js';
 import type {Runner} from '../runners/runner.js';
-import {AttemptKind} from './attempt_kind.js';
+import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {IncomingCall} from './incoming_call.js';
-import type {WholeAnswer} from './whole_answer.js';
+import type {BufferedResponse} from './buffered_response.js';
 
 interface Options {
   readonly call: IncomingCall;
@@ -18,7 +18,7 @@
   /** False if no runner had a version that was wished, so that any runner was taken. */
   readonly isGranted: boolean;
   /** Runners that might take the call, whatever their version and load. */
-  readonly known: number;
+  readonly candidateCount: number;
 }
 
 /** How far a call has come: what was tried, and whether it may have run. */
@@ -27,31 +27,31 @@
   /** The model that is asked next. */
   model: string | undefined;
   /** The opinion that a small model had of its answer, 0 to 100. */
-  smallOpinion: number | undefined;
+  smallModelConfidence: number | undefined;
   /** Runners that were tried. */
-  readonly tried = new Set<string>();
+  readonly triedRunners = new Set<string>();
   /** Attempts in all. */
-  tries = 0;
+  attemptCount = 0;
   /** Attempts in which the request was sent to a runner. */
-  sent = 0;
+  sentCount = 0;
   /** Runners that could not be reached since the caller holds a piece of the answer. */
-  unreachable = 0;
+  unreachableCount = 0;
   /** Whether a runner may have run the request. */
   mayHaveRun = false;
   /** The versions of the runners that answered with a failure, one for each such answer. */
   readonly failedVersions: string[] = [];
   /** On what the version of the last runner was decided. */
-  version: VersionDecision | undefined;
+  versionDecision: VersionDecision | undefined;
   /** Runners from which the last choice was kept. */
-  withheld = 0;
+  withheldCount = 0;
   /** Whether the last choice was among few runners, so that these bear the usual load. */
   isConcentrated = false;
   /** The version that made what the caller holds of the answer; undefined while it holds nothing. */
-  begunBy: string | undefined;
+  startedByVersion: string | undefined;
   /** Room in the retry budget for the next attempt; undefined if that is the first to arrive at a runner. */
-  reservation: RetryReservation | undefined;
+  retryReservation: RetryReservation | undefined;
   /** The last answer of a runner that failed, which can still be passed on. */
-  lastError: WholeAnswer | undefined;
+  lastErrorResponse: BufferedResponse | undefined;
 
   constructor({call, model}: Options) {
     this.call = call;
@@ -59,18 +59,18 @@
   }
 
   /** Takes the outcome of one attempt into account. */
-  note(runner: Runner, outcome: AttemptOutcome): void {
-    this.tries += 1;
-    if (wasSent(outcome)) this.sent += 1;
-    if (this.begunBy !== undefined && wasUnreachable(outcome))
-      this.unreachable += 1;
-    if (outcome.kind !== AttemptKind.WEAK) this.tried.add(runner.entry.id);
+  recordOutcome(runner: Runner, outcome: AttemptOutcome): void {
+    this.attemptCount += 1;
+    if (wasSent(outcome)) this.sentCount += 1;
+    if (this.startedByVersion !== undefined && wasUnreachable(outcome))
+      this.unreachableCount += 1;
+    if (outcome.kind !== OutcomeKind.LOW_CONFIDENCE) this.triedRunners.add(runner.entry.id);
     if (mayHaveRun(outcome)) this.mayHaveRun = true;
-    if (outcome.kind === AttemptKind.RUNNER_ERROR) {
-      this.lastError = outcome.answer;
+    if (outcome.kind === OutcomeKind.RUNNER_ERROR) {
+      this.lastErrorResponse = outcome.response;
       this.failedVersions.push(runner.entry.version);
     }
-    if (outcome.kind === AttemptKind.BROKEN) this.lastError = undefined;
+    if (outcome.kind === OutcomeKind.BROKEN) this.lastErrorResponse = undefined;
   }
 }
 
@@ -82,9 +82,9 @@
 /** Whether no connection to the runner came up. */
 function wasUnreachable(outcome: AttemptOutcome): boolean {
   const {kind, isWithheld} = outcome;
-  return kind === AttemptKind.NOT_RUN && !wasSent(outcome) && !isWithheld;
+  return kind === OutcomeKind.NOT_RUN && !wasSent(outcome) && !isWithheld;
 }
 
 function mayHaveRun({kind}: AttemptOutcome): boolean {
-  return kind !== AttemptKind.NOT_RUN && kind !== AttemptKind.UNSENT;
+  return kind !== OutcomeKind.NOT_RUN && kind !== OutcomeKind.UNSENT;
 }
--- a/packages/gateway/src/calls/call_refusal.ts
+++ b/packages/gateway/src/calls/call_refusal.ts
@@ -3,5 +3,5 @@
   /** A short fixed text, for callers, logs and metrics. */
   readonly reason: string;
   /** Time before which it would only be refused again, in ms; absent if that is not known. */
-  readonly waitMs?: number;
+  readonly minRetryMs?: number;
 }
--- a/packages/gateway/src/calls/call_door.ts
+++ b/packages/gateway/src/calls/call_server.ts
@@ -6,18 +6,18 @@
 import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
-import type {Admission} from './admission.js';
-import {CallerAnswer} from './caller_answer.js';
-import {CallEnd} from './call_end.js';
+import type {ValidatedRequest} from './validated_request.js';
+import {CallerResponse} from './caller_response.js';
+import {AbortReason} from './abort_reason.js';
 import type {CallForwarder} from './call_forwarder.js';
-import {DoorRecord} from './door_record.js';
+import {RequestRecorder} from './request_recorder.js';
 import type {HeaderNames} from './header_names.js';
-import type {OwnAnswer} from './own_answer.js';
+import type {LocalResponse} from './local_response.js';
 import type {IncomingCall} from './incoming_call.js';
 import {readBody} from './read_body.js';
-import {readNumber} from './read_number.js';
-import {RequestCheck} from './request_check.js';
-import {toCall} from './to_call.js';
+import {readNumberHeader} from './read_number_header.js';
+import {RequestValidator} from './request_validator.js';
+import {createCall} from './create_call.js';
 import {closeServer} from '../lifecycle/close_server.js';
 import {listenOn} from '../lifecycle/listen_on.js';
 
@@ -26,8 +26,8 @@
   readonly random: RandomSource;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  readonly names: HeaderNames;
-  readonly belief: ConfigurationBelief;
+  readonly headerNames: HeaderNames;
+  readonly configuration: ConfigurationBelief;
   readonly forwarder: CallForwarder;
   readonly ip: string;
   readonly port: number;
@@ -42,40 +42,40 @@
 }
 
 /** The status of a body over the bound, which is known only after the other checks. */
-const TOO_LARGE = 413;
+const PAYLOAD_TOO_LARGE = 413;
 /** Says that the request has not run. */
 const REQUEST_TIMEOUT = 408;
 /** Room for headers over the largest configured bound, in bytes; above it Node refuses by itself. */
 const MAX_HEADER_BYTES = 65_536;
 /** Bodies accepted before a configuration is known, in bytes. */
-const DEFAULT_BODY_BYTES = 1_048_576;
+const DEFAULT_MAX_BODY_BYTES = 1_048_576;
 
 /** The HTTP server for callers: checks a request, finds its route and hands it to the forwarder. */
-export class CallDoor {
+export class CallServer {
   private readonly server: Server;
-  private readonly checks: RequestCheck;
-  private readonly record: DoorRecord;
-  private readonly open = new Map<ServerResponse, AbortController>();
+  private readonly validator: RequestValidator;
+  private readonly recorder: RequestRecorder;
+  private readonly openResponses = new Map<ServerResponse, AbortController>();
   /** Connections that take no further request. */
-  private readonly ended = new WeakSet<Socket>();
+  private readonly closingConnections = new WeakSet<Socket>();
 
   constructor(private readonly options: Options) {
-    this.checks = new RequestCheck(options);
-    this.record = new DoorRecord(options);
+    this.validator = new RequestValidator(options);
+    this.recorder = new RequestRecorder(options);
     this.server = createServer(
       {maxHeaderSize: MAX_HEADER_BYTES, noDelay: true},
-      (request, response) => this.take(request, response),
+      (request, response) => this.accept(request, response),
     );
     this.server.requestTimeout = 0;
     this.server.on('clientError', (error, socket) =>
-      this.refuseFraming(error, socket as Socket),
+      this.refuseMalformed(error, socket as Socket),
     );
-    options.belief.onChange(({limits}) => this.applyLimits(limits));
+    options.configuration.onChange(({limits}) => this.applyLimits(limits));
   }
 
   /** Requests that are not answered yet. */
   get openCalls(): number {
-    return this.open.size;
+    return this.openResponses.size;
   }
 
   /** Listens for callers. */
@@ -91,9 +91,9 @@
   }
 
   /** Ends all open calls. @returns how many there were */
-  cutAll(reason: CallEnd): number {
-    const count = this.open.size;
-    for (const controller of [...this.open.values()]) controller.abort(reason);
+  abortAll(reason: AbortReason): number {
+    const count = this.openResponses.size;
+    for (const controller of [...this.openResponses.values()]) controller.abort(reason);
     return count;
   }
 
@@ -103,9 +103,9 @@
   }
 
   /** An answer whose head was sent before the host began to leave did not announce the close. */
-  private endIfClosing(socket: Socket): void {
+  private closeIfShuttingDown(socket: Socket): void {
     if (!this.options.isClosing()) return;
-    this.ended.add(socket);
+    this.closingConnections.add(socket);
     socket.destroySoon();
   }
 
@@ -114,7 +114,7 @@
     this.server.headersTimeout = limits.headerTimeoutMs;
   }
 
-  private refuseFraming(error: NodeJS.ErrnoException, socket: Socket): void {
+  private refuseMalformed(error: NodeJS.ErrnoException, socket: Socket): void {
     if (!socket.writable) return;
     const status =
       error.code === 'HPE_HEADER_OVERFLOW'
@@ -123,21 +123,21 @@
     socket.end(
       `HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`,
     );
-    this.record.noteUnread(
+    this.recorder.recordMalformed(
       Number(status.slice(0, 3)),
       error.code ?? error.message,
     );
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private accept(request: IncomingMessage, response: ServerResponse): void {
     // It crossed the end of its connection: unread, so its caller may send it again elsewhere.
-    if (this.ended.has(request.socket)) return void request.socket.destroy();
-    response.once('finish', () => this.endIfClosing(request.socket));
+    if (this.closingConnections.has(request.socket)) return void request.socket.destroy();
+    response.once('finish', () => this.closeIfShuttingDown(request.socket));
     const controller = new AbortController();
-    this.open.set(response, controller);
+    this.openResponses.set(response, controller);
     response.once('close', () => {
-      this.open.delete(response);
-      if (!response.writableFinished) controller.abort(CallEnd.CALLER_LEFT);
+      this.openResponses.delete(response);
+      if (!response.writableFinished) controller.abort(AbortReason.CALLER_DISCONNECTED);
     });
     response.on('error', () => undefined);
     this.handle(request, response, controller).catch(error => {
@@ -154,39 +154,39 @@
     response: ServerResponse,
     controller: AbortController,
   ): Promise<void> {
-    const {clock, names} = this.options;
+    const {clock, headerNames: names} = this.options;
     const acceptedAt = clock.now();
-    const caller = new CallerAnswer({
+    const caller = new CallerResponse({
       clock,
       response,
-      lastEventId: readNumber(request, names.lastEventId),
-      closesAfter: this.options.isClosing,
+      lastEventId: readNumberHeader(request, names.lastEventId),
+      shouldCloseConnection: this.options.isClosing,
     });
-    const admission = this.checks.check(request);
+    const admission = this.validator.validate(request);
     if (!('route' in admission)) return this.refuse(request, caller, admission);
     const body = await this.readBody(request, admission, controller);
     if (body === 'broken' || caller.isClosed)
-      return this.record.noteBroken(request, acceptedAt);
-    if (body === 'late') return this.refuseLate(request, response, caller);
+      return this.recorder.recordIncompleteBody(request, acceptedAt);
+    if (body === 'late') return this.refuseIncompleteBody(request, response, caller);
     if (body === 'too-large')
       return this.refuse(request, caller, {
-        status: TOO_LARGE,
+        status: PAYLOAD_TOO_LARGE,
         reason: 'body over the limit of the configuration',
       });
-    const call = toCall({request, body, admission, names, acceptedAt});
-    this.record.noteAccepted(call);
+    const call = createCall({request, body, validated: admission, headerNames: names, acceptedAt});
+    this.recorder.recordAccepted(call);
     await this.forward(call, caller, controller);
   }
 
   /** Reads the body within the bounds of the configuration and the time limit of the route. */
   private async readBody(
     request: IncomingMessage,
-    {route}: Admission,
+    {route}: ValidatedRequest,
     controller: AbortController,
   ): ReturnType<typeof readBody> {
-    const {belief} = this.options;
-    const maxBytes = belief.current?.limits.bodyBytes ?? DEFAULT_BODY_BYTES;
-    const timer = this.endAfter(route.timeLimitMs, controller);
+    const {configuration: belief} = this.options;
+    const maxBytes = belief.current?.limits.bodyBytes ?? DEFAULT_MAX_BODY_BYTES;
+    const timer = this.abortAfter(route.timeLimitMs, controller);
     const body = await readBody(request, maxBytes, controller.signal);
     timer.cancel();
     return body;
@@ -194,11 +194,11 @@
 
   private async forward(
     call: IncomingCall,
-    caller: CallerAnswer,
+    caller: CallerResponse,
     controller: AbortController,
   ): Promise<void> {
     const {clock, forwarder} = this.options;
-    const timer = this.endAfter(call.deadlineAt - clock.now(), controller);
+    const timer = this.abortAfter(call.deadlineAt - clock.now(), controller);
     try {
       await forwarder.forward(call, caller, controller.signal);
     } finally {
@@ -206,17 +206,17 @@
     }
   }
 
-  private endAfter(delayMs: number, controller: AbortController): Timer {
+  private abortAfter(delayMs: number, controller: AbortController): Timer {
     return this.options.clock.after(delayMs, () =>
-      controller.abort(CallEnd.TIME_LIMIT),
+      controller.abort(AbortReason.TIME_LIMIT),
     );
   }
 
   /** The rest of a body that comes too late is not waited for: the connection ends. */
-  private refuseLate(
+  private refuseIncompleteBody(
     request: IncomingMessage,
     response: ServerResponse,
-    caller: CallerAnswer,
+    caller: CallerResponse,
   ): void {
     response.shouldKeepAlive = false;
     response.once('finish', () => request.destroy());
@@ -228,12 +228,12 @@
 
   private refuse(
     request: IncomingMessage,
-    caller: CallerAnswer,
-    refusal: OwnAnswer,
+    caller: CallerResponse,
+    refusal: LocalResponse,
   ): void {
     // The rest of a body that nobody reads would be taken for the next request.
     request.resume();
-    if (!caller.isClosed) caller.sendOwn(refusal);
-    this.record.noteRefused(request, refusal);
+    if (!caller.isClosed) caller.sendLocal(refusal);
+    this.recorder.recordRefused(request, refusal);
   }
 }
--- a/packages/gateway/src/calls/caller_answer.ts
+++ b/packages/gateway/src/calls/caller_response.ts
@@ -1,9 +1,9 @@
 import type {ServerResponse} from 'node:http';
 import type {StreamEvent} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {OwnAnswer} from './own_answer.js';
-import type {StreamHead} from './stream_head.js';
-import type {WholeAnswer} from './whole_answer.js';
+import type {LocalResponse} from './local_response.js';
+import type {ResponseHead} from './response_head.js';
+import type {BufferedResponse} from './buffered_response.js';
 
 interface Options {
   readonly clock: Clock;
@@ -11,7 +11,7 @@
   /** The last event that the caller had before this request. */
   readonly lastEventId?: number;
   /** Whether the connection is to be closed behind the answer; asked when the head is written. */
-  readonly closesAfter: () => boolean;
+  readonly shouldCloseConnection: () => boolean;
 }
 
 const MS_PER_SECOND = 1_000;
@@ -21,22 +21,22 @@
 const NO_BODY_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** The one answer that a caller gets: whole, or as events of one or several runs. */
-export class CallerAnswer {
+export class CallerResponse {
   private readonly response: ServerResponse;
-  private last: number | undefined;
-  private count = 0;
-  private firstMs: number | undefined;
-  private unframed = false;
+  private lastId: number | undefined;
+  private sentEvents = 0;
+  private firstSentAt: number | undefined;
+  private closeDelimited = false;
   private lastEventAt: number | undefined;
-  private longestMs = 0;
+  private longestPause = 0;
 
   constructor(private readonly options: Options) {
     this.response = options.response;
-    this.last = options.lastEventId;
+    this.lastId = options.lastEventId;
   }
 
   /** Whether the caller holds a part of the answer. */
-  get hasBegun(): boolean {
+  get hasStarted(): boolean {
     return this.response.headersSent;
   }
 
@@ -46,40 +46,40 @@
   }
 
   /** Whether the caller has to read before more is sent to it. */
-  get isFull(): boolean {
+  get needsDrain(): boolean {
     return this.response.writableNeedDrain && !this.isClosed;
   }
 
   /** The last whole event passed on, in this answer or before it. */
   get lastEventId(): number | undefined {
-    return this.last;
+    return this.lastId;
   }
 
   /** How many events were passed on. */
-  get events(): number {
-    return this.count;
+  get eventCount(): number {
+    return this.sentEvents;
   }
 
   /** When the first byte was passed on, on this host's clock. */
   get firstByteAt(): number | undefined {
-    return this.firstMs;
+    return this.firstSentAt;
   }
 
   /** The longest pause between two events, in ms. */
   get longestPauseMs(): number {
-    return this.longestMs;
+    return this.longestPause;
   }
 
   /** Sends an answer of a runner that was received whole. */
-  sendWhole(answer: WholeAnswer): void {
-    this.noteFirst();
+  sendBuffered(answer: BufferedResponse): void {
+    this.recordFirstByte();
     this.writeRunnerHead(answer);
     if (NO_BODY_STATUSES.has(answer.status)) this.response.end();
     else this.response.end(answer.body);
   }
 
   /** Sends an answer that the gateway makes itself. */
-  sendOwn({status, reason, retryAfterMs}: OwnAnswer): void {
+  sendLocal({status, reason, retryAfterMs}: LocalResponse): void {
     const body = Buffer.from(`${JSON.stringify({error: reason})}\n`);
     const headers = ['content-type', 'application/json'];
     headers.push('content-length', String(body.length));
@@ -90,20 +90,20 @@
   }
 
   /** Passes an event on, behind the head if it is the first. @returns whether there is room for more */
-  sendEvent(head: StreamHead, event: StreamEvent): boolean {
-    if (!this.hasBegun) {
-      this.noteFirst();
+  sendEvent(head: ResponseHead, event: StreamEvent): boolean {
+    if (!this.hasStarted) {
+      this.recordFirstByte();
       this.writeRunnerHead(head);
     }
-    if (event.id !== undefined) this.last = event.id;
-    this.count += 1;
-    this.notePause();
+    if (event.id !== undefined) this.lastId = event.id;
+    this.sentEvents += 1;
+    this.recordPause();
     return this.response.write(event.bytes);
   }
 
   /** Ends a stream that is whole; `head` is used if it had no event. */
-  finishStream(head: StreamHead): void {
-    if (!this.hasBegun) this.writeRunnerHead(head);
+  endStream(head: ResponseHead): void {
+    if (!this.hasStarted) this.writeRunnerHead(head);
     this.response.end();
   }
 
@@ -111,27 +111,27 @@
    * Whether an answer that ended with its runner's connection may be ended as whole: only where the
    * caller also sees nothing but the connection's end, because it may have been cut off.
    */
-  get acceptsUnframed(): boolean {
-    return !this.hasBegun || this.unframed;
+  get acceptsCloseDelimited(): boolean {
+    return !this.hasStarted || this.closeDelimited;
   }
 
   /** Ends an answer that cannot be completed, so that it does not look whole. */
-  cut(): void {
+  abort(): void {
     this.response.destroy();
   }
 
   /** Calls the action once when the caller can take more. */
-  onRoom(action: () => void): void {
+  onDrain(action: () => void): void {
     this.response.once('drain', action);
   }
 
-  private writeRunnerHead(head: StreamHead): void {
-    if (head.isUnframed) this.leaveUnframed();
+  private writeRunnerHead(head: ResponseHead): void {
+    if (head.isCloseDelimited) this.useCloseDelimiting();
     this.writeHead(head.status, head.statusText, head.headers);
   }
 
-  private leaveUnframed(): void {
-    this.unframed = true;
+  private useCloseDelimiting(): void {
+    this.closeDelimited = true;
     this.response.useChunkedEncodingByDefault = false;
     this.response.shouldKeepAlive = false;
   }
@@ -143,19 +143,19 @@
   ): void {
     const {response, options} = this;
     response.sendDate = false;
-    if (options.closesAfter()) response.shouldKeepAlive = false;
+    if (options.shouldCloseConnection()) response.shouldKeepAlive = false;
     if (statusText === undefined) response.writeHead(status, [...headers]);
     else response.writeHead(status, statusText, [...headers]);
   }
 
-  private notePause(): void {
+  private recordPause(): void {
     const now = this.options.clock.now();
     const pauseMs = now - (this.lastEventAt ?? now);
     this.lastEventAt = now;
-    this.longestMs = Math.max(this.longestMs, pauseMs);
+    this.longestPause = Math.max(this.longestPause, pauseMs);
   }
 
-  private noteFirst(): void {
-    this.firstMs ??= this.options.clock.now();
+  private recordFirstByte(): void {
+    this.firstSentAt ??= this.options.clock.now();
   }
 }
--- a/packages/gateway/src/calls/mean_event_ms.ts
+++ b/packages/gateway/src/calls/compute_event_interval_ms.ts
@@ -2,7 +2,7 @@
 const MIN_EVENTS = 4;
 
 /** Time from one event of an answer to the next on average, in ms; undefined if there were too few. */
-export function meanEventMs(
+export function computeEventIntervalMs(
   forMs: number,
   firstMs: number | undefined,
   events: number,
--- a/packages/gateway/src/calls/request_lessons.ts
+++ b/packages/gateway/src/calls/crash_attribution.ts
@@ -4,7 +4,7 @@
 import type {Runner} from '../runners/runner.js';
 import {startOf} from '../runners/start_of.js';
 import type {Attempt} from './attempt.js';
-import {AttemptKind} from './attempt_kind.js';
+import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {IncomingCall} from './incoming_call.js';
 import {roundHundredths} from '../observability/round_hundredths.js';
@@ -15,29 +15,29 @@
 }
 
 /** What an attempt teaches of its request: whether it may be what ends the runners that run it. */
-export class RequestLessons {
+export class CrashAttribution {
   constructor(private readonly options: Options) {}
 
   /**
    * Takes the outcome into what is believed of the request. It has to outlive the call and go by what is asked: callers
    * repeat such a request with a new id, at any host.
    */
-  learn(
+  recordOutcome(
     call: IncomingCall,
     runner: Runner,
     attempt: Attempt,
     outcome: AttemptOutcome,
   ): void {
     const {quarantine} = this.options;
-    if (outcome.kind === AttemptKind.ANSWERED)
+    if (outcome.kind === OutcomeKind.ANSWERED)
       quarantine.recordAnswer(call.fingerprint);
-    else if (outcome.isCutOff) this.noteEnd(call, runner, attempt);
+    else if (outcome.isTruncated) this.recordCrash(call, runner, attempt);
   }
 
-  private noteEnd(call: IncomingCall, runner: Runner, attempt: Attempt): void {
+  private recordCrash(call: IncomingCall, runner: Runner, attempt: Attempt): void {
     const {log, quarantine} = this.options;
     const {fingerprint, id: request, route} = call;
-    const {hasHead, sinceHeadMs, firstAt, isAlone} = attempt;
+    const {hasHead, sinceHeadMs, firstOutputAt: firstAt, isAlone} = attempt;
     const weight = weighRunnerCrash({
       isStreamed: isStreamed(route.kind),
       hasHead,
--- a/packages/gateway/src/calls/to_call.ts
+++ b/packages/gateway/src/calls/create_call.ts
@@ -4,36 +4,36 @@
   intersectRegions,
   fingerprintRequest,
 } from '@bayspool/decisions/calls';
-import type {Admission} from './admission.js';
+import type {ValidatedRequest} from './validated_request.js';
 import type {HeaderNames} from './header_names.js';
 import type {IncomingCall} from './incoming_call.js';
-import {readNumber} from './read_number.js';
+import {readNumberHeader} from './read_number_header.js';
 import {readPrompt} from './read_prompt.js';
 
 interface Options {
   readonly request: IncomingMessage;
   readonly body: Buffer;
-  readonly admission: Admission;
-  readonly names: HeaderNames;
+  readonly validated: ValidatedRequest;
+  readonly headerNames: HeaderNames;
   /** When the request arrived, on this host's clock. */
   readonly acceptedAt: number;
 }
 
 /** Time kept back from a caller's deadline for the answer's way, in ms. */
-const ANSWER_WAY_MS = 10;
+const RESPONSE_TRANSIT_MS = 10;
 
 /** The call that an admitted request makes. */
-export function toCall({
+export function createCall({
   request,
   body,
-  admission,
-  names,
+  validated: admission,
+  headerNames: names,
   acceptedAt,
 }: Options): IncomingCall {
   const {route, holder} = admission;
   const {headers} = request;
   const id = String(headers[names.requestId]);
-  const deadlineMs = readNumber(request, names.deadline) ?? Infinity;
+  const deadlineMs = readNumberHeader(request, names.deadline) ?? Infinity;
   const session = headers[names.session];
   const model = headers[names.model];
   const sessionId = typeof session === 'string' ? session : undefined;
@@ -54,16 +54,16 @@
     priority: holder?.priority ?? route.priority,
     acceptedAt,
     deadlineAt:
-      acceptedAt + Math.min(deadlineMs - ANSWER_WAY_MS, route.timeLimitMs),
+      acceptedAt + Math.min(deadlineMs - RESPONSE_TRANSIT_MS, route.timeLimitMs),
     prompt: readPrompt(
-      asText(headers[names.promptSize]),
-      asText(headers[names.promptParts]),
+      singleValue(headers[names.promptSize]),
+      singleValue(headers[names.promptParts]),
     ),
     session: sessionId,
     model: typeof model === 'string' ? model : undefined,
   };
 }
 
-function asText(value: string | string[] | undefined): string | undefined {
+function singleValue(value: string | string[] | undefined): string | undefined {
   return typeof value === 'string' ? value : undefined;
 }
--- a/packages/gateway/src/calls/hop_headers.ts
+++ b/packages/gateway/src/calls/hop_by_hop_headers.ts
@@ -1,5 +1,5 @@
 /** Headers that belong to one connection and are not passed on (RFC 9110, 7.6.1). */
-export const hopHeaders: ReadonlySet<string> = new Set([
+export const hopByHopHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
--- a/packages/gateway/src/calls/attempt_kind.ts
+++ b/packages/gateway/src/calls/outcome_kind.ts
@@ -1,5 +1,5 @@
 /** How an attempt at a runner ended. */
-const AttemptKind = {
+const OutcomeKind = {
   /** The answer was passed on whole, or is ready to be. */
   ANSWERED: 'answered',
   /** Nothing was sent, or the runner says that it did not run the request. */
@@ -9,12 +9,12 @@
   /** The answer broke off, was spoiled or did not come; the request may have run. */
   BROKEN: 'broken',
   /** The model's confidence is too low; the answer was dropped. */
-  WEAK: 'weak',
+  LOW_CONFIDENCE: 'weak',
   /** The call ended first: its time limit, its caller or this host. */
-  ENDED: 'ended',
+  CALL_ENDED: 'ended',
   /** The call ended before anything was sent: it has not run, and says nothing of the runner. */
   UNSENT: 'unsent',
 } as const;
-type AttemptKind = (typeof AttemptKind)[keyof typeof AttemptKind];
+type OutcomeKind = (typeof OutcomeKind)[keyof typeof OutcomeKind];
 
-export {AttemptKind};
+export {OutcomeKind};
--- a/packages/gateway/src/calls/pending_outcome.ts
+++ b/packages/gateway/src/calls/pending_outcome.ts
@@ -1,13 +1,13 @@
 import type {PooledConnection} from '../runners/pooled_connection.js';
-import type {AttemptKind} from './attempt_kind.js';
+import type {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 
 interface Options {
   readonly connection: PooledConnection;
   /** How a failure at this time counts. */
-  readonly failureKind: () => AttemptKind;
+  readonly failureKind: () => OutcomeKind;
   /** Whether this host has ended the attempt. */
-  readonly isEnded: () => boolean;
+  readonly isAborted: () => boolean;
   readonly status: number;
   /** The model's opinion of its answer, if it gave one. */
   readonly confidence?: number;
@@ -47,8 +47,8 @@
   }
 
   /** The runner closed the connection before its answer was whole. */
-  cutOff(reason: string): void {
-    this.settleFailed(reason, !this.options.isEnded());
+  failTruncated(reason: string): void {
+    this.settleFailed(reason, !this.options.isAborted());
   }
 
   private settleFailed(reason: string, isCutOff: boolean): void {
@@ -57,6 +57,6 @@
     const {connection, failureKind, status, confidence} = this.options;
     connection.discard();
     const kind = failureKind();
-    this.resolve({kind, reason, status, confidence, isCutOff});
+    this.resolve({kind, reason, status, confidence, isTruncated: isCutOff});
   }
 }
--- a/packages/gateway/src/calls/read_keep_alive.ts
+++ b/packages/gateway/src/calls/read_keep_alive_seconds.ts
@@ -4,7 +4,7 @@
 const DEFAULT_SECONDS = 5;
 
 /** For how many seconds the sender of an answer keeps the connection at rest. */
-export function readKeepAlive(answer: IncomingMessage): number {
+export function readKeepAliveSeconds(answer: IncomingMessage): number {
   const text = answer.headers['keep-alive'];
   const seconds = /timeout=(\d+)/.exec(String(text ?? ''))?.[1];
   return seconds === undefined ? DEFAULT_SECONDS : Number(seconds);
--- a/packages/gateway/src/calls/read_number.ts
+++ b/packages/gateway/src/calls/read_number_header.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage} from 'node:http';
 
 /** The number in a request's header; undefined where it is absent or no number. */
-export function readNumber(
+export function readNumberHeader(
   request: IncomingMessage,
   name: string,
 ): number | undefined {
--- a/packages/gateway/src/calls/read_report.ts
+++ b/packages/gateway/src/calls/read_runner_report.ts
@@ -5,7 +5,7 @@
  * Reads what a runner says of itself with an answer: requests running, waiting, and its slots, with
  * commas between them; undefined where it says nothing or something else.
  */
-export function readReport(
+export function readRunnerReport(
   answer: IncomingMessage,
   header: string,
 ): RunnerReport | undefined {
--- a/packages/gateway/src/calls/door_record.ts
+++ b/packages/gateway/src/calls/request_recorder.ts
@@ -5,30 +5,30 @@
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {HeaderNames} from './header_names.js';
 import type {IncomingCall} from './incoming_call.js';
-import type {OwnAnswer} from './own_answer.js';
+import type {LocalResponse} from './local_response.js';
 
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
-  readonly names: HeaderNames;
-  readonly belief: ConfigurationBelief;
+  readonly headerNames: HeaderNames;
+  readonly configuration: ConfigurationBelief;
 }
 
 /** Labels of requests that no route is counted for. */
 const NO_ROUTE = {route: '', kind: ''};
 /** Why bytes were refused that are no request. */
-const UNREAD = 'request not understood';
+const MALFORMED = 'request not understood';
 /** Why a call ended whose caller left before its body was whole. */
-const BODY_BROKEN = 'body broke off';
+const BODY_INCOMPLETE = 'body broke off';
 
 /** Log entries and metrics of requests that come in: accepted, refused or broken off. */
-export class DoorRecord {
+export class RequestRecorder {
   constructor(private readonly options: Options) {}
 
   /** Records a request that is handed on. */
-  noteAccepted(call: IncomingCall): void {
-    const {log, belief} = this.options;
+  recordAccepted(call: IncomingCall): void {
+    const {log, configuration: belief} = this.options;
     log.write('request_accepted', {
       request: call.id,
       route: call.route.name,
@@ -45,14 +45,14 @@
   }
 
   /** Records a request that was answered by a refusal. */
-  noteRefused(
+  recordRefused(
     request: IncomingMessage,
-    {status, reason, retryAfterMs}: OwnAnswer,
+    {status, reason, retryAfterMs}: LocalResponse,
   ): void {
-    const {log, belief, metrics} = this.options;
+    const {log, configuration: belief, metrics} = this.options;
     metrics.requests.inc({...NO_ROUTE, outcome: 'refused', reason});
     log.write('request_refused', {
-      request: this.idOf(request),
+      request: this.readRequestId(request),
       status,
       reason,
       retryAfterMs,
@@ -62,29 +62,29 @@
   }
 
   /** Records bytes that are no request, and were refused as such. */
-  noteUnread(status: number, cause: string): void {
+  recordMalformed(status: number, cause: string): void {
     const {log, metrics} = this.options;
-    metrics.requests.inc({...NO_ROUTE, outcome: 'refused', reason: UNREAD});
+    metrics.requests.inc({...NO_ROUTE, outcome: 'refused', reason: MALFORMED});
     log.write('request_refused', {
       request: '',
       status,
-      reason: `${UNREAD}: ${cause}`,
+      reason: `${MALFORMED}: ${cause}`,
     });
   }
 
   /** Records that the caller left before its request was whole: nothing was sent to a runner. */
-  noteBroken(request: IncomingMessage, acceptedAt: number): void {
+  recordIncompleteBody(request: IncomingMessage, acceptedAt: number): void {
     const {clock, log, metrics} = this.options;
-    metrics.requests.inc({...NO_ROUTE, outcome: 'left', reason: BODY_BROKEN});
+    metrics.requests.inc({...NO_ROUTE, outcome: 'left', reason: BODY_INCOMPLETE});
     log.write('caller_left', {
-      request: this.idOf(request),
+      request: this.readRequestId(request),
       attempts: 0,
-      reason: BODY_BROKEN,
+      reason: BODY_INCOMPLETE,
       forMs: Math.round(clock.now() - acceptedAt),
     });
   }
 
-  private idOf({headers}: IncomingMessage): string {
-    return String(headers[this.options.names.requestId] ?? '');
+  private readRequestId({headers}: IncomingMessage): string {
+    return String(headers[this.options.headerNames.requestId] ?? '');
   }
 }
--- a/packages/gateway/src/calls/request_check.ts
+++ b/packages/gateway/src/calls/request_validator.ts
@@ -6,15 +6,15 @@
 } from '@bayspool/decisions/calls';
 import type {RandomSource} from '@bayspool/kernel';
 import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
-import type {Admission} from './admission.js';
+import type {ValidatedRequest} from './validated_request.js';
 import type {HeaderNames} from './header_names.js';
-import type {OwnAnswer} from './own_answer.js';
-import {chooseRetryAfter} from './retry_after.js';
+import type {LocalResponse} from './local_response.js';
+import {chooseRetryAfterMs} from './choose_retry_after_ms.js';
 
 interface Options {
   readonly random: RandomSource;
-  readonly names: HeaderNames;
-  readonly belief: ConfigurationBelief;
+  readonly headerNames: HeaderNames;
+  readonly configuration: ConfigurationBelief;
   /** Age of the configuration up to which keys are accepted, in ms. */
   readonly maxKeyAgeMs: () => number;
   /** Age of the configuration up to which an unknown route or key is refused as such, in ms. */
@@ -38,13 +38,13 @@
 const SEPARATOR_BYTES = 2;
 
 /** Decides by a request's headers whether it may run. */
-export class RequestCheck {
+export class RequestValidator {
   constructor(private readonly options: Options) {}
 
   /** The route and the key's holder, or why the request is refused; it has not run then. */
-  check(request: IncomingMessage): Admission | OwnAnswer {
-    const configuration = this.options.belief.current;
-    if (!configuration) return this.later('no configuration yet');
+  validate(request: IncomingMessage): ValidatedRequest | LocalResponse {
+    const configuration = this.options.configuration.current;
+    if (!configuration) return this.refuseForNow('no configuration yet');
     const malformed = this.checkHeaders(request, configuration);
     if (malformed) return malformed;
     const route = this.findRoute(request);
@@ -63,24 +63,24 @@
   private checkHeaders(
     request: IncomingMessage,
     {limits}: CallConfiguration,
-  ): OwnAnswer | undefined {
+  ): LocalResponse | undefined {
     if (countHeaderBytes(request) > limits.headerBytes)
       return {status: STATUS.HEADERS_TOO_LARGE, reason: 'headers too large'};
-    const id = request.headers[this.options.names.requestId];
+    const id = request.headers[this.options.headerNames.requestId];
     if (typeof id !== 'string' || id.includes(','))
       return {status: STATUS.BAD_REQUEST, reason: 'one request id is needed'};
     return undefined;
   }
 
   private findRoute({headers, url}: IncomingMessage): CallRoute | undefined {
-    return this.options.belief.routes.find(headers.host ?? '', url ?? '');
+    return this.options.configuration.routes.find(headers.host ?? '', url ?? '');
   }
 
   private findHolder(
     {headers}: IncomingMessage,
     {keys}: CallConfiguration,
   ): ApiKeyOwner | undefined {
-    const key = headers[this.options.names.apiKey];
+    const key = headers[this.options.headerNames.apiKey];
     return typeof key === 'string' ? keys?.get(key) : undefined;
   }
 
@@ -88,14 +88,14 @@
     {keys}: CallConfiguration,
     route: CallRoute,
     holder: ApiKeyOwner | undefined,
-  ): OwnAnswer | undefined {
-    const {belief, maxKeyAgeMs, mayPredateConfiguration} = this.options;
+  ): LocalResponse | undefined {
+    const {configuration: belief, maxKeyAgeMs, mayPredateConfiguration} = this.options;
     if (!keys || route.isPublic) return undefined;
     // It may have waited here since a time at which its key was withdrawn, and was sent to be refused.
     if (mayPredateConfiguration())
-      return this.later('may be older than the configuration');
+      return this.refuseForNow('may be older than the configuration');
     if (belief.ageMs > maxKeyAgeMs())
-      return this.later('configuration too old to trust keys');
+      return this.refuseForNow('configuration too old to trust keys');
     if (holder) return undefined;
     return this.deny(STATUS.UNAUTHORIZED, 'unknown key');
   }
@@ -105,19 +105,19 @@
     {models}: CallRoute,
   ): boolean {
     return (
-      models.length === 0 || headers[this.options.names.model] === ANY_MODEL
+      models.length === 0 || headers[this.options.headerNames.model] === ANY_MODEL
     );
   }
 
   /** Refuses what the configuration does not know; an old one may only be behind. */
-  private deny(status: number, reason: string): OwnAnswer {
-    const {belief, maxDenialAgeMs} = this.options;
+  private deny(status: number, reason: string): LocalResponse {
+    const {configuration: belief, maxDenialAgeMs} = this.options;
     if (belief.ageMs <= maxDenialAgeMs()) return {status, reason};
-    return this.later(`${reason} in an old configuration`);
+    return this.refuseForNow(`${reason} in an old configuration`);
   }
 
-  private later(reason: string): OwnAnswer {
-    const retryAfterMs = Math.round(chooseRetryAfter(this.options.random));
+  private refuseForNow(reason: string): LocalResponse {
+    const retryAfterMs = Math.round(chooseRetryAfterMs(this.options.random));
     return {status: STATUS.UNAVAILABLE, reason, retryAfterMs};
   }
 }
--- a/packages/gateway/src/calls/repeat_rule.ts
+++ b/packages/gateway/src/calls/retry_policy.ts
@@ -9,7 +9,7 @@
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerGate} from '../runners/runner_gate.js';
-import {AttemptKind} from './attempt_kind.js';
+import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {CallCandidates} from './call_candidates.js';
 import type {CallProgress} from './call_progress.js';
@@ -24,33 +24,33 @@
   readonly cascade: ModelCascade;
   readonly quarantine: Quarantine;
   /** The retry budget of a service. */
-  readonly budgetOf: (service: string) => SharedRetryBudget;
+  readonly retryBudgetOf: (service: string) => SharedRetryBudget;
 }
 
 /** Time under which another attempt cannot bring an answer, in ms. */
-const MIN_LEFT_MS = 30;
+const MIN_REMAINING_MS = 30;
 /** What has to be left besides a repeat that replaces a small model's answer, so that one which breaks off has one. */
-const KEPT_FOR_FAILURES = 0.2;
+const BUDGET_KEPT_FOR_FAILURES = 0.2;
 /** Attempts that were not run do not count as such; this bounds them. */
-const MAX_TRIES = 10;
+const MAX_ATTEMPTS = 10;
 
 /** Whether a call may be sent to a runner once more. */
-export class RepeatRule {
+export class RetryPolicy {
   constructor(private readonly options: Options) {}
 
   /** Whether the call may be sent once more after this outcome, and reserves room in the budget for it. */
-  mayRepeat(progress: CallProgress, outcome: AttemptOutcome): boolean {
-    const {clock, log, metrics, budgetOf} = this.options;
+  decideRetry(progress: CallProgress, outcome: AttemptOutcome): boolean {
+    const {clock, log, metrics, retryBudgetOf: budgetOf} = this.options;
     const {call} = progress;
     const leftMs = call.deadlineAt - clock.now();
     const budget = budgetOf(call.service);
     const again =
-      this.isRepeatAllowed(progress, outcome, leftMs) &&
-      this.reserve(progress, budget);
+      this.isRetryAllowed(progress, outcome, leftMs) &&
+      this.reserveBudget(progress, budget);
     const {calls: firsts, retries: repeats, hosts} = budget.windowCounts;
     log.write('retry_decided', {
       request: call.id,
-      attempt: progress.tries,
+      attempt: progress.attemptCount,
       again,
       reason: outcome.reason,
       budgetLeft: roundHundredths(budget.remaining),
@@ -60,61 +60,61 @@
       leftMs: Math.round(leftMs),
     });
     if (!again) return false;
-    if (outcome.kind === AttemptKind.WEAK)
+    if (outcome.kind === OutcomeKind.LOW_CONFIDENCE)
       progress.model = this.options.cascade.largestModel(call.route);
     metrics.repeats.inc({service: call.service, reason: outcome.kind});
     return true;
   }
 
   /** Counts a repeat as it is sent. @returns why it must not be sent any more; undefined if it may */
-  pay({reservation}: CallProgress): string | undefined {
+  spendReservation({retryReservation: reservation}: CallProgress): string | undefined {
     const isPaid = !reservation || reservation.spend();
     return isPaid ? undefined : 'retry budget is spent';
   }
 
-  private reserve(progress: CallProgress, budget: SharedRetryBudget): boolean {
+  private reserveBudget(progress: CallProgress, budget: SharedRetryBudget): boolean {
     // What has not arrived at a runner yet is no repeat.
-    if (progress.sent === 0) return true;
-    const hasBegun = progress.begunBy !== undefined;
-    progress.reservation = budget.reserve({hasPartialAnswer: hasBegun});
-    if (progress.reservation) return true;
+    if (progress.sentCount === 0) return true;
+    const hasBegun = progress.startedByVersion !== undefined;
+    progress.retryReservation = budget.reserve({hasPartialAnswer: hasBegun});
+    if (progress.retryReservation) return true;
     const {id: request, service} = progress.call;
     this.options.log.write('budget_spent', {request, service});
     return false;
   }
 
-  private isRepeatAllowed(
+  private isRetryAllowed(
     progress: CallProgress,
     outcome: AttemptOutcome,
     leftMs: number,
   ): boolean {
     const {call} = progress;
-    if (leftMs < MIN_LEFT_MS || progress.tries >= MAX_TRIES) return false;
+    if (leftMs < MIN_REMAINING_MS || progress.attemptCount >= MAX_ATTEMPTS) return false;
     if (this.options.quarantine.remainingMs(call.fingerprint) > 0) return false;
-    if (progress.sent >= call.route.attempts) return false;
-    if (outcome.kind === AttemptKind.NOT_RUN) return true;
-    if (outcome.kind === AttemptKind.WEAK) return true;
+    if (progress.sentCount >= call.route.attempts) return false;
+    if (outcome.kind === OutcomeKind.NOT_RUN) return true;
+    if (outcome.kind === OutcomeKind.LOW_CONFIDENCE) return true;
     return isRetryable(call.route.kind);
   }
 
   /** Whether an answer of a small model may be dropped for one of the largest. */
   canEscalate(progress: CallProgress): boolean {
-    const {clock, budgetOf} = this.options;
+    const {clock, retryBudgetOf: budgetOf} = this.options;
     const {call} = progress;
     if (call.route.kind !== CallKind.RESUMABLE) return false;
-    if (progress.sent + 1 >= call.route.attempts) return false;
-    if (call.deadlineAt - clock.now() < MIN_LEFT_MS) return false;
-    return budgetOf(call.service).remaining >= 1 + KEPT_FOR_FAILURES;
+    if (progress.sentCount + 1 >= call.route.attempts) return false;
+    if (call.deadlineAt - clock.now() < MIN_REMAINING_MS) return false;
+    return budgetOf(call.service).remaining >= 1 + BUDGET_KEPT_FOR_FAILURES;
   }
 
   /** Whether another runner could take the call if this one falls silent. */
-  canMove(progress: CallProgress, from: Runner): boolean {
+  canFailOver(progress: CallProgress, from: Runner): boolean {
     const {call} = progress;
-    if (progress.sent + 1 >= call.route.attempts) return false;
-    if (this.options.budgetOf(call.service).remaining < 1) return false;
+    if (progress.sentCount + 1 >= call.route.attempts) return false;
+    if (this.options.retryBudgetOf(call.service).remaining < 1) return false;
     const {candidates, gate} = this.options;
     const sound = candidates
-      .of(call)
+      .listFor(call)
       .filter(
         runner =>
           runner !== from && !runner.health.isEjected && !runner.isQuiet,
--- a/packages/gateway/src/calls/silence_watch.ts
+++ b/packages/gateway/src/calls/silence_detector.ts
@@ -1,14 +1,14 @@
 import type {Clock, Timer} from '@bayspool/kernel';
 import type {RunnerChoice} from '../runners/runner_choice.js';
-import type {CallerAnswer} from './caller_answer.js';
+import type {CallerResponse} from './caller_response.js';
 import type {IncomingCall} from './incoming_call.js';
-import {silenceRule} from './silence_rule.js';
+import {silenceTimeout} from './silence_timeout.js';
 
 interface Options {
   readonly clock: Clock;
   readonly call: IncomingCall;
   readonly choice: RunnerChoice;
-  readonly caller: CallerAnswer;
+  readonly caller: CallerResponse;
   /** Whether the attempt has passed on an event. */
   readonly hasEvents: () => boolean;
   /** Whether the call could be sent to another runner if this one falls silent. */
@@ -18,10 +18,10 @@
 }
 
 /** Least pause between two looks at whether the runner has fallen silent, in ms. */
-const WATCH_MS = 50;
+const MIN_CHECK_INTERVAL_MS = 50;
 
 /** Follows the progress of one attempt, and tells when its runner has fallen silent. */
-export class SilenceWatch {
+export class SilenceDetector {
   private timer: Timer | undefined;
   private progressAt: number;
 
@@ -37,10 +37,10 @@
   /** Looks from now on. */
   start(): void {
     const {clock, call, onSilent} = this.options;
-    const shortestMs = silenceRule.shortestMs(call.route);
+    const shortestMs = silenceTimeout.shortestMs(call.route);
     if (shortestMs === Infinity) return;
     const dueMs = this.progressAt + shortestMs - clock.now();
-    this.timer = clock.after(Math.max(WATCH_MS, dueMs), () => {
+    this.timer = clock.after(Math.max(MIN_CHECK_INTERVAL_MS, dueMs), () => {
       if (this.isSilent()) onSilent();
       else this.start();
     });
@@ -52,7 +52,7 @@
   }
 
   /** Notes that the runner sent something. */
-  noteProgress(): void {
+  recordProgress(): void {
     this.progressAt = this.options.clock.now();
     this.options.choice.runner.noteHeard();
   }
@@ -62,13 +62,13 @@
       this.options;
     const now = clock.now();
     const {runner} = choice;
-    if (caller.isFull) {
+    if (caller.needsDrain) {
       // Nothing is read of the runner while its caller takes nothing.
       this.progressAt = now;
       runner.excuseSilence();
       return false;
     }
-    const isSilent = silenceRule.isTooSilent(call.route, runner, {
+    const isSilent = silenceTimeout.isTooSilent(call.route, runner, {
       quietMs: now - this.progressAt,
       longestPauseMs: caller.longestPauseMs,
       hasEvents: hasEvents(),
--- a/packages/gateway/src/calls/silence_rule.test.ts
+++ b/packages/gateway/src/calls/silence_timeout.test.ts
@@ -3,7 +3,7 @@
 import {CallKind} from '@bayspool/decisions/calls';
 import type {CallRoute} from '@bayspool/decisions/calls';
 import type {Runner} from '../runners/runner.js';
-import {silenceRule} from './silence_rule.js';
+import {silenceTimeout} from './silence_timeout.js';
 
 const KINDS = [
   CallKind.SAFE,
@@ -20,9 +20,9 @@
   const runner = {isQuiet: true, usualFirstMs: 0} as Runner;
   for (const kind of KINDS) {
     const route = routeOf(kind);
-    const shortestMs = silenceRule.shortestMs(route);
+    const shortestMs = silenceTimeout.shortestMs(route);
     const at = (quietMs: number, hasEvents: boolean) =>
-      silenceRule.isTooSilent(route, runner, {
+      silenceTimeout.isTooSilent(route, runner, {
         quietMs,
         hasEvents,
         longestPauseMs: 0,
@@ -37,8 +37,8 @@
 });
 
 void test('calls that may run once are not watched', () => {
-  assert.equal(silenceRule.shortestMs(routeOf(CallKind.UNSAFE)), Infinity);
-  assert.equal(silenceRule.shortestMs(routeOf(CallKind.STREAM)), Infinity);
+  assert.equal(silenceTimeout.shortestMs(routeOf(CallKind.UNSAFE)), Infinity);
+  assert.equal(silenceTimeout.shortestMs(routeOf(CallKind.STREAM)), Infinity);
 });
 
 void test('a first event may take a part of the latency target, for prompts not heard of yet', () => {
@@ -46,7 +46,7 @@
   const route = {...routeOf(CallKind.RESUMABLE), latencyTargetMs: 4_000};
   const quiet = {quietMs: 1_000, longestPauseMs: 0, expectedMs: 20};
   const isTooSilent = (hasEvents: boolean) =>
-    silenceRule.isTooSilent(route, runner, {...quiet, hasEvents});
+    silenceTimeout.isTooSilent(route, runner, {...quiet, hasEvents});
   assert.equal(isTooSilent(true), true);
   assert.equal(isTooSilent(false), false);
 });
--- a/packages/gateway/src/calls/withheld_report.ts
+++ b/packages/gateway/src/calls/withheld_runner_reporter.ts
@@ -13,26 +13,26 @@
 }
 
 /** Runners that are told of for one choice. */
-const MAX_TOLD = 3;
+const MAX_LOGGED_RUNNERS = 3;
 
 /** Tells from which runners a call was kept, and on what that was decided. */
-export class WithheldReport {
+export class WithheldRunnerReporter {
   constructor(private readonly options: Options) {}
 
   /** Tells it of the last choice. */
-  tell(progress: CallProgress): void {
+  report(progress: CallProgress): void {
     const {candidates, gate, metrics} = this.options;
     const {service} = progress.call;
-    const withheld = gate.withheldOf(candidates.of(progress.call));
+    const withheld = gate.withheldOf(candidates.listFor(progress.call));
     if (withheld.length === 0) return;
     const [{reason}] = withheld;
     metrics.withheldChoices.inc({service, reason});
-    for (const one of withheld.slice(0, MAX_TOLD))
-      this.tellOne(progress, one, withheld.length);
+    for (const one of withheld.slice(0, MAX_LOGGED_RUNNERS))
+      this.logRunner(progress, one, withheld.length);
   }
 
-  private tellOne(
-    {call, tries}: CallProgress,
+  private logRunner(
+    {call, attemptCount: tries}: CallProgress,
     {runner, reason, share, sent, waitMs}: WithheldRunner,
     withheld: number,
   ): void {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -2,7 +2,7 @@
 import {ModelCascade} from '@bayspool/decisions/calls';
 import type {Timer} from '@bayspool/kernel';
 import {CallCandidates} from './calls/call_candidates.js';
-import {CallDoor} from './calls/call_door.js';
+import {CallServer} from './calls/call_server.js';
 import {CallForwarder} from './calls/call_forwarder.js';
 import type {GatewaySettings} from './gateway_settings.js';
 import {Leaving} from './lifecycle/leaving.js';
@@ -40,7 +40,7 @@
   private readonly lag: LoopLag;
   private readonly standstill: StandstillWatch;
   private readonly writer: RolloutWriter;
-  private readonly door: CallDoor;
+  private readonly door: CallServer;
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
   private readonly leaving: Leaving;
@@ -221,16 +221,16 @@
     });
   }
 
-  private createDoor(): CallDoor {
+  private createDoor(): CallServer {
     const {clock, random, log, headerNames, settings} = this.options;
     const {belief} = this.knowledge;
-    return new CallDoor({
+    return new CallServer({
       clock,
       random,
       log,
-      names: headerNames,
+      headerNames: headerNames,
       metrics: this.metrics,
-      belief,
+      configuration: belief,
       forwarder: this.createForwarder(),
       ip: settings.ip,
       port: settings.callerPort,
@@ -263,7 +263,7 @@
       quarantine,
       rates,
       metrics: this.metrics,
-      names: headerNames,
+      headerNames: headerNames,
       directory,
       gate,
       candidates: new CallCandidates({
@@ -281,10 +281,10 @@
         lostPlaces: () => roster.lostPlaces(),
       }),
       cascade: new ModelCascade(),
-      budgetOf: service => limits.budgetOf(service),
-      urgentFirstOf: service => limits.urgentFirstOf(service),
+      retryBudgetOf: service => limits.budgetOf(service),
+      priorityAdmissionOf: service => limits.urgentFirstOf(service),
       loadsAgeMs: () => loads.ageMs,
-      targetOf: service => limits.targetOf(service),
+      latencyTargetOf: service => limits.targetOf(service),
     });
   }
 
--- a/packages/gateway/src/lifecycle/leaving.ts
+++ b/packages/gateway/src/lifecycle/leaving.ts
@@ -1,13 +1,13 @@
 import {sleep} from '@bayspool/kernel';
 import type {Clock} from '@bayspool/kernel';
-import type {CallDoor} from '../calls/call_door.js';
-import {CallEnd} from '../calls/call_end.js';
+import type {CallServer} from '../calls/call_server.js';
+import {AbortReason} from '../calls/abort_reason.js';
 import type {EventLog} from '../observability/event_log.js';
 
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly door: CallDoor;
+  readonly door: CallServer;
   /** Time until the process is killed, in ms. */
   readonly graceMs: () => number;
 }
@@ -44,7 +44,7 @@
       await sleep(clock, TICK_MS);
       door.closeIdle();
     }
-    const cut = door.cutAll(CallEnd.HOST_LEAVES);
+    const cut = door.abortAll(AbortReason.HOST_SHUTDOWN);
     await sleep(clock, TICK_MS);
     const forMs = Math.round(clock.now() - startedAt);
     log.write('process_stopped', {reason, cut, forMs});
--- a/packages/gateway/src/parts/observe_parts.ts
+++ b/packages/gateway/src/parts/observe_parts.ts
@@ -2,7 +2,7 @@
 import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
 import type {Cordons} from '../beliefs/cordons.js';
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
-import type {CallDoor} from '../calls/call_door.js';
+import type {CallServer} from '../calls/call_server.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {LoopLag} from '../observability/loop_lag.js';
@@ -22,7 +22,7 @@
   readonly belief: ConfigurationBelief;
   readonly cordons: Cordons;
   readonly directory: RunnerDirectory;
-  readonly door: CallDoor;
+  readonly door: CallServer;
   readonly news: NewsLoop;
   readonly roster: Roster;
   readonly limits: ServiceLimits;
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_world.ts
@@ -1,7 +1,7 @@
 import {RolloutPhase, chooseCanaryRunners} from '@bayspool/decisions/calls';
 import type {RolloutState} from '@bayspool/decisions/calls';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
-import {meanEventMs} from '../calls/mean_event_ms.js';
+import {computeEventIntervalMs} from '../calls/compute_event_interval_ms.js';
 import {Topic} from '../records/topic.js';
 import type {Rollout} from '../rollouts/rollout.js';
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
@@ -288,7 +288,7 @@
       runner.totalRunning -= 1;
       if (!isFresh) host.oldRunning -= 1;
       const isEnded = answer.forMs > CALLER_PATIENCE_MS;
-      const eventMs = meanEventMs(forMs, firstMs, events);
+      const eventMs = computeEventIntervalMs(forMs, firstMs, events);
       if (isActive && !isEnded)
         rollout.evidence.note(route, isFresh, answer.hasFailed, {
           firstMs,
