--- a/packages/gateway/src/calls/attempt.ts
+++ b/packages/gateway/src/calls/attempt.ts
@@ -99,7 +99,7 @@
   get isAlone(): boolean {
     const {runner} = this.options.choice;
     const isLast = runner.sentCount === this.sendNumber;
-    return this.wasRunnerIdle && isLast && runner.others.running === 0;
+    return this.wasRunnerIdle && isLast && runner.peerLoad.running === 0;
   }
 
   /** Sends the call and follows the answer to its end. */
@@ -170,7 +170,7 @@
     const {headerNames: names, clock, choice} = this.options;
     const word = readLimit(answer, names.limit);
     this.declaredPerSecond = word.perSecond;
-    choice.runner.limit.noteAnswer(word, sentAt, clock.now());
+    choice.runner.limit.updateFromResponse(word, sentAt, clock.now());
   }
 
   /** A connection to the runner; undefined if the attempt ends before there is one. */
@@ -304,6 +304,6 @@
     if (this.isFirstOutputRecorded) return;
     this.isFirstOutputRecorded = true;
     const {choice} = this.options;
-    choice.runner.noteFirst(choice.workMs);
+    choice.runner.notePrefillDone(choice.workMs);
   }
 }
--- a/packages/gateway/src/calls/attempt_recorder.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -5,7 +5,7 @@
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {Rollout} from '../rollouts/rollout.js';
 import type {RolloutBook} from '../rollouts/rollout_book.js';
-import type {ReadingRates} from '../runners/reading_rates.js';
+import type {PrefillRates} from '../runners/prefill_rates.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
 import {OutcomeKind} from './outcome_kind.js';
@@ -21,7 +21,7 @@
   readonly directory: RunnerDirectory;
   readonly rollouts: RolloutBook;
   readonly sessions: SessionVersions;
-  readonly rates: ReadingRates;
+  readonly rates: PrefillRates;
 }
 
 /** Weight of a runner's silence to a call's end among its failures: enough to eject it. */
@@ -95,10 +95,10 @@
     if (runner.isCold) return;
     if (!call.prompt) {
       const usualMs = call.route.latencyTargetMs * USUAL_TARGET_SHARE;
-      runner.learnSlowness(firstMs, usualMs);
+      runner.noteLatency(firstMs, usualMs);
       return;
     }
-    runner.learnSlowness(firstMs, expectedMs);
+    runner.noteLatency(firstMs, expectedMs);
     if (model === undefined) return;
     this.options.rates.learn(model, unreadTokens, firstMs, isUnloaded);
   }
@@ -159,7 +159,7 @@
   private countFailure(runner: Runner, reason: string, weight: number): void {
     const {directory, log} = this.options;
     const {health, entry} = runner;
-    const remote = runner.others.load;
+    const remote = runner.peerLoad.lastFromPeers;
     health.recordFailure(weight);
     const others = directory
       .takersOf(entry.service)
@@ -219,9 +219,9 @@
 function computeFailureShare(runners: readonly Runner[]): number {
   let ok = 0;
   let failed = 0;
-  for (const {health, others} of runners) {
-    ok += health.successWeight + others.load.ok;
-    failed += health.failureWeight + others.load.failed;
+  for (const {health, peerLoad: others} of runners) {
+    ok += health.successWeight + others.lastFromPeers.ok;
+    failed += health.failureWeight + others.lastFromPeers.failed;
   }
   return failed / Math.max(1, ok + failed);
 }
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -60,7 +60,7 @@
   explainRefusal({call, startedByVersion: begunBy}: CallProgress): CallRefusal {
     const {candidates, gate} = this.options;
     const known = candidates.listFor(call);
-    const withheld = gate.withheldOf(known);
+    const withheld = gate.listWithheld(known);
     if (withheld.length === 0) return {reason: candidates.explainNone(call)};
     if (withheld.length < known.length && begunBy === undefined)
       return {reason: 'room is kept for more urgent calls'};
@@ -76,12 +76,12 @@
   ): readonly Runner[] {
     const {gate, priorityAdmissionOf: urgentFirstOf} = this.options;
     const {call, startedByVersion: begunBy} = progress;
-    const open = gate.openOf(known);
+    const open = gate.filterOpen(known);
     progress.withheldCount = known.length - open.length;
     // An answer that has begun goes on: its caller holds a part of it.
     if (open.length === known.length || begunBy !== undefined) return open;
     const urgentFirst = urgentFirstOf(call.service);
-    const mayUse = urgentFirst.canAdmit(call.priority, gate.perSecond(known));
+    const mayUse = urgentFirst.canAdmit(call.priority, gate.computeTotalRate(known));
     return mayUse ? open : [];
   }
 
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -10,8 +10,8 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {RolloutBook} from '../rollouts/rollout_book.js';
-import type {PrefixBook} from '../runners/prefix_book.js';
-import type {ReadingRates} from '../runners/reading_rates.js';
+import type {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
+import type {PrefillRates} from '../runners/prefill_rates.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
 import type {RunnerChooser} from '../runners/runner_chooser.js';
@@ -47,8 +47,8 @@
   readonly sessions: SessionVersions;
   readonly chooser: RunnerChooser;
   readonly gate: RunnerGate;
-  readonly prefixes: PrefixBook;
-  readonly rates: ReadingRates;
+  readonly prefixes: PrefixCacheIndex;
+  readonly rates: PrefillRates;
   readonly cascade: ModelCascade;
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
@@ -229,7 +229,7 @@
     const {call, model} = progress;
     const {entry} = choice.runner;
     if (call.prompt && model !== undefined)
-      prefixes.note(entry.id, model, call.prompt);
+      prefixes.notePrompt(entry.id, model, call.prompt);
     if (call.session !== undefined && progress.startedByVersion === undefined)
       sessions.set(call.session, entry.version);
     const hasSession = call.session !== undefined;
--- a/packages/gateway/src/calls/crash_attribution.ts
+++ b/packages/gateway/src/calls/crash_attribution.ts
@@ -2,7 +2,7 @@
 import type {Quarantine} from '@bayspool/decisions/calls';
 import type {EventLog} from '../observability/event_log.js';
 import type {Runner} from '../runners/runner.js';
-import {startOf} from '../runners/start_of.js';
+import {getIncarnationId} from '../runners/get_incarnation_id.js';
 import type {Attempt} from './attempt.js';
 import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
@@ -46,7 +46,7 @@
       hasBodyBytes: firstAt !== undefined,
     });
     if (weight === 0) return;
-    const start = startOf(runner.entry);
+    const start = getIncarnationId(runner.entry);
     quarantine.recordCrashes(fingerprint, [{start: hashToUint32(start), weight}]);
     log.write('runner_end_counted', {
       request,
--- a/packages/gateway/src/calls/escalation_policy.ts
+++ b/packages/gateway/src/calls/escalation_policy.ts
@@ -75,7 +75,7 @@
     const {route, service} = progress.call;
     const choice = choose(progress, cascade.largestModel(route));
     if (!choice) return undefined;
-    const pendingMs = chooser.meanPendingMs(directory.takersOf(service));
+    const pendingMs = chooser.computeMeanPendingMs(directory.takersOf(service));
     return {
       expectedMs: estimateLatencyMs(choice),
       workMs: choice.workMs,
--- a/packages/gateway/src/calls/read_runner_report.ts
+++ b/packages/gateway/src/calls/read_runner_report.ts
@@ -1,5 +1,5 @@
 import type {IncomingMessage} from 'node:http';
-import type {RunnerReport} from '../runners/runner_report.js';
+import type {LoadReport} from '../runners/load_report.js';
 
 /**
  * Reads what a runner says of itself with an answer: requests running, waiting, and its slots, with
@@ -8,7 +8,7 @@
 export function readRunnerReport(
   answer: IncomingMessage,
   header: string,
-): RunnerReport | undefined {
+): LoadReport | undefined {
   const text = answer.headers[header];
   if (typeof text !== 'string') return undefined;
   const [running, waiting] = text.split(',').map(Number);
--- a/packages/gateway/src/calls/retry_policy.ts
+++ b/packages/gateway/src/calls/retry_policy.ts
@@ -119,6 +119,6 @@
         runner =>
           runner !== from && !runner.health.isEjected && !runner.isQuiet,
       );
-    return gate.openOf(sound).length > 0;
+    return gate.filterOpen(sound).length > 0;
   }
 }
--- a/packages/gateway/src/calls/silence_detector.ts
+++ b/packages/gateway/src/calls/silence_detector.ts
@@ -54,7 +54,7 @@
   /** Notes that the runner sent something. */
   recordProgress(): void {
     this.progressAt = this.options.clock.now();
-    this.options.choice.runner.noteHeard();
+    this.options.choice.runner.noteBytes();
   }
 
   private isSilent(): boolean {
@@ -65,7 +65,7 @@
     if (caller.needsDrain) {
       // Nothing is read of the runner while its caller takes nothing.
       this.progressAt = now;
-      runner.excuseSilence();
+      runner.resetSilence();
       return false;
     }
     const isSilent = silenceTimeout.isTooSilent(call.route, runner, {
--- a/packages/gateway/src/calls/silence_timeout.test.ts
+++ b/packages/gateway/src/calls/silence_timeout.test.ts
@@ -17,7 +17,7 @@
 }
 
 void test('no silence under the shortest one is too long, whatever else holds', () => {
-  const runner = {isQuiet: true, usualFirstMs: 0} as Runner;
+  const runner = {isQuiet: true, usualFirstByteMs: 0} as Runner;
   for (const kind of KINDS) {
     const route = routeOf(kind);
     const shortestMs = silenceTimeout.shortestMs(route);
@@ -42,7 +42,7 @@
 });
 
 void test('a first event may take a part of the latency target, for prompts not heard of yet', () => {
-  const runner = {isQuiet: true, usualFirstMs: 0} as Runner;
+  const runner = {isQuiet: true, usualFirstByteMs: 0} as Runner;
   const route = {...routeOf(CallKind.RESUMABLE), latencyTargetMs: 4_000};
   const quiet = {quietMs: 1_000, longestPauseMs: 0, expectedMs: 20};
   const isTooSilent = (hasEvents: boolean) =>
--- a/packages/gateway/src/calls/silence_timeout.ts
+++ b/packages/gateway/src/calls/silence_timeout.ts
@@ -54,7 +54,7 @@
   const {quietMs, longestPauseMs, hasEvents, expectedMs} = progress;
   if (route.kind === CallKind.SAFE)
     return (
-      quietMs > Math.max(safeTimeoutMs(route), runner.usualFirstMs * USUAL_LATENCY_FACTOR)
+      quietMs > Math.max(safeTimeoutMs(route), runner.usualFirstByteMs * USUAL_LATENCY_FACTOR)
     );
   if (!isResumable(route)) return false;
   const pauseMs = effectivePauseTargetMs(route);
--- a/packages/gateway/src/calls/withheld_runner_reporter.ts
+++ b/packages/gateway/src/calls/withheld_runner_reporter.ts
@@ -23,7 +23,7 @@
   report(progress: CallProgress): void {
     const {candidates, gate, metrics} = this.options;
     const {service} = progress.call;
-    const withheld = gate.withheldOf(candidates.listFor(progress.call));
+    const withheld = gate.listWithheld(candidates.listFor(progress.call));
     if (withheld.length === 0) return;
     const [{reason}] = withheld;
     metrics.withheldChoices.inc({service, reason});
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -18,8 +18,8 @@
 import {observeParts} from './parts/observe_parts.js';
 import {Topic} from './records/topic.js';
 import {RolloutWriter} from './rollouts/rollout_writer.js';
-import {AssignedHosts} from './runners/assigned_hosts.js';
-import {ReadingRates} from './runners/reading_rates.js';
+import {RunnerSubset} from './runners/runner_subset.js';
+import {PrefillRates} from './runners/prefill_rates.js';
 import {RunnerChooser} from './runners/runner_chooser.js';
 
 /** Kept back from the bound on withdrawn keys, for the way of a request and slow timers, in ms. */
@@ -246,12 +246,12 @@
     const {directory, gate, limits, loads, prefixes, quarantine} =
       this.knowledge;
     const {rollouts, roster, sessions} = this.knowledge;
-    const assigned = new AssignedHosts({
+    const assigned = new RunnerSubset({
       clock,
       host: settings.host,
       hostsOf: place => roster.enteredIn(place),
     });
-    const rates = new ReadingRates({
+    const rates = new PrefillRates({
       costFactorOf: model => limits.costFactorOf(model),
     });
     return new CallForwarder({
@@ -277,7 +277,7 @@
         prefixes,
         place: settings.place,
         hosts: () => roster.livingCount,
-        isAssigned: runner => assigned.isOneFor(runner),
+        isInSubset: runner => assigned.includes(runner),
         lostPlaces: () => roster.lostPlaces(),
       }),
       cascade: new ModelCascade(),
@@ -292,7 +292,7 @@
     const {clock, log} = this.options;
     const {belief, directory, quarantine} = this.knowledge;
     this.sweepTimer = clock.after(SWEEP_MS, () => this.sweep());
-    for (const {pool} of directory.all()) pool.sweep();
+    for (const {pool} of directory.all()) pool.closeExpired();
     quarantine.review();
     const ageMs = Math.round(belief.ageMs);
     const boundMs = this.freshnessBoundMs;
--- a/packages/gateway/src/parts/exchange.ts
+++ b/packages/gateway/src/parts/exchange.ts
@@ -98,7 +98,7 @@
   }
 
   /** What another host told has reached the readers already. */
-  private spreadLimit({isTold}: LimitChange): void {
+  private spreadLimit({isFromPeer: isTold}: LimitChange): void {
     this.desk.tellLimits();
     if (!isTold) this.teller.tellSoon();
   }
--- a/packages/gateway/src/parts/host_limits.test.ts
+++ b/packages/gateway/src/parts/host_limits.test.ts
@@ -35,7 +35,7 @@
 
 void test('what one host heard of a runner holds at another, as of when it was heard', () => {
   const [one, two] = [createHost(), createHost()];
-  one.limit().noteAnswer({perSecond: 2}, 0, one.clock.now());
+  one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   one.clock.advance(700);
   two.clock.advance(5_000);
   two.limits.take(one.limits.news(), 300);
@@ -57,7 +57,7 @@
 
 void test('a new start of a runner begins without a limit, whatever is told of the one before', () => {
   const [one, two] = [createHost(1_000), createHost(1_000)];
-  one.limit().noteAnswer({perSecond: 2}, 0, one.clock.now());
+  one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   put(two.fixture, 9_000);
   two.clock.advance(100);
   two.limits.take(one.limits.news(), 0);
@@ -70,7 +70,7 @@
 void test('only a host that would send far too much is told at once', () => {
   const host = createHost();
   host.clock.advance(10_000);
-  host.limit().noteAnswer({perSecond: 2}, 0, host.clock.now());
+  host.limit().updateFromResponse({perSecond: 2}, 0, host.clock.now());
   host.clock.advance(50);
   const know = (perSecond: number | undefined, ageMs: number) =>
     host.limits.isUrgentFor([{runner: 'one', perSecond, ageMs}]);
@@ -79,6 +79,6 @@
   assert.equal(know(9, 900), true);
   assert.equal(know(2.5, 900), false);
   assert.equal(know(undefined, 10), false);
-  host.limit().noteAnswer({}, host.clock.now(), host.clock.now());
+  host.limit().updateFromResponse({}, host.clock.now(), host.clock.now());
   assert.equal(know(9, 900), false);
 });
--- a/packages/gateway/src/parts/host_limits.ts
+++ b/packages/gateway/src/parts/host_limits.ts
@@ -4,9 +4,9 @@
 import type {EventLog} from '../observability/event_log.js';
 import {isUrgentLimit} from '../runners/is_urgent_limit.js';
 import type {LimitChange} from '../runners/limit_change.js';
-import type {LimitNews} from '../runners/limit_news.js';
+import type {LimitObservation} from '../runners/limit_observation.js';
 import type {Runner} from '../runners/runner.js';
-import {startOf} from '../runners/start_of.js';
+import {getIncarnationId} from '../runners/get_incarnation_id.js';
 
 interface Options {
   readonly clock: Clock;
@@ -29,7 +29,7 @@
 
   /** Notes that what is known of a runner's limit has changed. */
   noteChange({id: runner, service}: RunnerEntry, change: LimitChange): void {
-    const {perSecond, previous, malformed: text, isTold} = change;
+    const {perSecond, previous, malformed: text, isFromPeer: isTold} = change;
     const {log} = this.options;
     if (text !== undefined)
       return log.write('runner_limit_malformed', {runner, service, text});
@@ -43,11 +43,11 @@
   }
 
   /** All that this host knows. */
-  news(): LimitNews[] {
-    const news: LimitNews[] = [];
+  news(): LimitObservation[] {
+    const news: LimitObservation[] = [];
     for (const {entry, limit} of this.named.values()) {
       const {perSecond, ageMs} = limit;
-      news.push({runner: startOf(entry), perSecond, ageMs: Math.ceil(ageMs)});
+      news.push({runner: getIncarnationId(entry), perSecond, ageMs: Math.ceil(ageMs)});
     }
     return news;
   }
@@ -57,23 +57,23 @@
    *
    * @param sinceMs time since it told that at most, in ms; 0 if that is not known
    */
-  take(news: readonly LimitNews[], sinceMs: number): void {
+  take(news: readonly LimitObservation[], sinceMs: number): void {
     if (news.length === 0) return;
     const asOf = this.options.clock.now() - sinceMs;
     const byStart = new Map(news.map(one => [one.runner, one]));
     for (const {entry, limit} of this.options.directory.all()) {
-      const told = byStart.get(startOf(entry));
-      if (told) limit.take(told.perSecond, asOf - told.ageMs);
+      const told = byStart.get(getIncarnationId(entry));
+      if (told) limit.updateFromPeer(told.perSecond, asOf - told.ageMs);
     }
   }
 
   /** Whether a host that knows this much needs to hear at once what this one knows. */
-  isUrgentFor(known: readonly LimitNews[]): boolean {
+  isUrgentFor(known: readonly LimitObservation[]): boolean {
     if (this.named.size === 0) return false;
     const byStart = new Map(known.map(one => [one.runner, one]));
     return [...this.named.values()].some(({entry, limit}) => {
       if (limit.perSecond === undefined) return false;
-      const told = byStart.get(startOf(entry));
+      const told = byStart.get(getIncarnationId(entry));
       if (told && told.ageMs <= limit.ageMs) return false;
       return isUrgentLimit(limit.perSecond, told?.perSecond);
     });
--- a/packages/gateway/src/parts/host_loads.test.ts
+++ b/packages/gateway/src/parts/host_loads.test.ts
@@ -59,10 +59,10 @@
   put(here, 1_000_000);
   put(there, 1_000_000);
   there.fixture.directory.all()[0].noteSent(400);
-  there.fixture.prefixes.note('one', 'small', prompt);
+  there.fixture.prefixes.notePrompt('one', 'small', prompt);
   tell(there, here);
   const runner = () => here.fixture.directory.all()[0];
-  const kept = () => here.fixture.prefixes.keptTokensOf('small', prompt)('one');
+  const kept = () => here.fixture.prefixes.createCachedTokenCounter('small', prompt)('one');
   assert.equal(runner().totalRunning, 1);
   assert.equal(kept(), 20);
   // The other host has not heard of the new start yet.
--- a/packages/gateway/src/parts/host_loads.ts
+++ b/packages/gateway/src/parts/host_loads.ts
@@ -4,15 +4,15 @@
 import type {LoadDigest} from '../peers/load_digest.js';
 import type {Rollout} from '../rollouts/rollout.js';
 import type {RolloutBook} from '../rollouts/rollout_book.js';
-import type {PartNews} from '../runners/part_news.js';
-import type {PrefixBook} from '../runners/prefix_book.js';
-import {startOf} from '../runners/start_of.js';
+import type {PartKeysByRunner} from '../runners/part_keys_by_runner.js';
+import type {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
+import {getIncarnationId} from '../runners/get_incarnation_id.js';
 
 interface Options {
   readonly clock: Clock;
   readonly directory: RunnerDirectory;
   readonly rollouts: RolloutBook;
-  readonly prefixes: PrefixBook;
+  readonly prefixes: PrefixCacheIndex;
   readonly quarantine: Quarantine;
 }
 
@@ -39,7 +39,7 @@
     for (const {entry, ownLoad} of this.options.directory.all()) {
       const {running, pendingMs, ok, failed} = ownLoad;
       if (running === 0 && ok + failed < MIN_TOLD_WEIGHT) continue;
-      runners[startOf(entry)] = [
+      runners[getIncarnationId(entry)] = [
         running,
         Math.round(pendingMs),
         roundTenths(ok),
@@ -64,22 +64,22 @@
     this.takenAt = clock.now();
     for (const runner of directory.all()) {
       // What is told of another start under the same id is not about this one.
-      const start = startOf(runner.entry);
+      const start = getIncarnationId(runner.entry);
       const [running, pendingMs, ok, failed] = runners[start] ?? NOTHING;
-      runner.others.take({running, pendingMs, ok, failed});
+      runner.peerLoad.updateFromPeers({running, pendingMs, ok, failed});
       const keys = parts[start];
-      if (keys) prefixes.takeNews(runner.entry.id, keys);
+      if (keys) prefixes.addKeysFromPeers(runner.entry.id, keys);
     }
     this.options.rollouts.noteRemote(rollouts);
     if (quarantine) this.options.quarantine.mergeDigest(quarantine);
   }
 
-  private ownParts(): PartNews {
-    const news = this.options.prefixes.news();
+  private ownParts(): PartKeysByRunner {
+    const news = this.options.prefixes.collectRecentKeys();
     const parts: Record<string, readonly number[]> = {};
     for (const {entry} of this.options.directory.all()) {
       const keys = news[entry.id];
-      if (keys) parts[startOf(entry)] = keys;
+      if (keys) parts[getIncarnationId(entry)] = keys;
     }
     return parts;
   }
--- a/packages/gateway/src/parts/knowledge.ts
+++ b/packages/gateway/src/parts/knowledge.ts
@@ -13,11 +13,11 @@
 import {Topic} from '../records/topic.js';
 import {RolloutBook} from '../rollouts/rollout_book.js';
 import {RolloutStarts} from '../rollouts/rollout_starts.js';
-import {ColdBound} from '../runners/cold_bound.js';
-import {ConnectPatience} from '../runners/connect_patience.js';
+import {ColdStartBound} from '../runners/cold_start_bound.js';
+import {ConnectTimeout} from '../runners/connect_timeout.js';
 import {ConnectionPool} from '../runners/connection_pool.js';
-import {LimitBound} from '../runners/limit_bound.js';
-import {PrefixBook} from '../runners/prefix_book.js';
+import {DeclaredLimitBound} from '../runners/declared_limit_bound.js';
+import {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
 import {Runner} from '../runners/runner.js';
 import {RunnerGate} from '../runners/runner_gate.js';
 import {SentCalls} from '../runners/sent_calls.js';
@@ -49,7 +49,7 @@
   readonly storeHealth: StoreHealth;
   readonly metrics: GatewayMetrics;
   /** Parts of prompts that runners probably keep. */
-  readonly prefixes: PrefixBook;
+  readonly prefixes: PrefixCacheIndex;
   /** The hosts. */
   readonly roster: Roster;
   /** The configuration in force. */
@@ -76,7 +76,7 @@
   readonly hostLimits: HostLimits;
   /** Loads at the runners. */
   readonly loads: HostLoads;
-  private readonly patience = new ConnectPatience();
+  private readonly patience = new ConnectTimeout();
 
   constructor(private readonly options: Options) {
     const {settings, liveSettings, clock, ageClock} = options;
@@ -91,7 +91,7 @@
     const freshness = mirrors[Topic.OPERATOR];
     const refusals = new Refusals({log, metrics: options.metrics});
     this.metrics = options.metrics;
-    this.prefixes = new PrefixBook({clock});
+    this.prefixes = new PrefixCacheIndex({clock});
     this.storeHealth = new StoreHealth({clock, log});
     this.roster = new Roster({
       clock,
@@ -125,20 +125,20 @@
       retryWindowMs: settings.retryWindowMs,
     });
     const {cordons} = this;
-    const cold = new ColdBound({
+    const cold = new ColdStartBound({
       clock,
       host: settings.host,
       hostsOf: place => this.roster.enteredIn(place),
       allHosts: () => this.roster.entered(),
       limitsOf: service => this.limits.coldBoundOf(service),
     });
-    const named = new LimitBound({
+    const named = new DeclaredLimitBound({
       clock,
       host: settings.host,
       hosts: () => (this.roster.isKnown ? this.roster.entered() : []),
       tolerance: () => limitTolerance(liveSettings()),
     });
-    const sent = new SentCalls({clock, keptMs: SENT_KEPT_MS});
+    const sent = new SentCalls({clock, retentionMs: SENT_KEPT_MS});
     this.gate = new RunnerGate({cordons, bounds: [cold, named], sent});
     this.directory = new RunnerDirectory({
       clock: ageClock,
@@ -149,8 +149,8 @@
       refusals,
       isCordoned: place => cordons.has(place),
       onGone: id => {
-        this.prefixes.forget(id);
-        sent.forget(id);
+        this.prefixes.removeRunner(id);
+        sent.removeRunner(id);
         this.hostLimits.forget(id);
       },
       createRunner: entry => this.createRunner(entry),
@@ -209,7 +209,7 @@
     const {service} = entry;
     const pool = new ConnectionPool({
       clock,
-      patience: this.patience,
+      connectTimeout: this.patience,
       address: entry.address,
       maxConnections: () => this.limits.maxConnections(service),
       onOpened: () => metrics.connections.inc({service}),
@@ -219,7 +219,7 @@
       entry,
       pool,
       onReplaced: () => this.directory.forgetTakers(),
-      onLimit: change => this.hostLimits.noteChange(entry, change),
+      onLimitChange: change => this.hostLimits.noteChange(entry, change),
     });
   }
 }
--- a/packages/gateway/src/peers/load_digest.ts
+++ b/packages/gateway/src/peers/load_digest.ts
@@ -1,5 +1,5 @@
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
-import type {PartNews} from '../runners/part_news.js';
+import type {PartKeysByRunner} from '../runners/part_keys_by_runner.js';
 import type {QuarantineDigest} from '@bayspool/decisions/calls';
 
 /** What one host, or the hosts of a place together, have at the runners and saw of them. */
@@ -10,7 +10,7 @@
   >;
   readonly rollouts: Readonly<Record<string, RolloutDigest>>;
   /** Parts of prompts that runners read lately; hosts of an earlier version tell none. */
-  readonly parts?: PartNews;
+  readonly parts?: PartKeysByRunner;
   /** Requests under which runners ended; hosts of an earlier version tell none. */
   readonly quarantine?: QuarantineDigest;
 }
--- a/packages/gateway/src/peers/sync_request.ts
+++ b/packages/gateway/src/peers/sync_request.ts
@@ -1,5 +1,5 @@
 import type {Topic} from '../records/topic.js';
-import type {LimitNews} from '../runners/limit_news.js';
+import type {LimitObservation} from '../runners/limit_observation.js';
 import type {HostEntry} from './host_entry.js';
 import type {LoadDigest} from './load_digest.js';
 
@@ -11,7 +11,7 @@
   /** What the asking host itself has and saw; empty for a host that is not of the same place. */
   readonly digest: LoadDigest;
   /** What it knows of limits that runners name; hosts of an earlier version tell none. */
-  readonly limits?: readonly LimitNews[];
+  readonly limits?: readonly LimitObservation[];
   /** How long the other may wait for news, in ms. */
   readonly waitMs: number;
 }
--- a/packages/gateway/src/runners/cold_bound.ts
+++ b/packages/gateway/src/runners/cold_start_bound.ts
@@ -1,10 +1,10 @@
 import {computeColdRunnerShare} from '@bayspool/decisions/calls';
 import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import {KeptByRunner} from './kept_by_runner.js';
+import {PerRunnerCache} from './per_runner_cache.js';
 import type {Runner} from './runner.js';
 import type {RunnerBound} from './runner_bound.js';
-import type {RunnerShare} from './runner_share.js';
+import type {HostShare} from './host_share.js';
 
 interface Options {
   readonly clock: Clock;
@@ -21,30 +21,30 @@
 /** Window over which calls to a cold runner are counted, in ms: the second of the bound, and how far arrivals shift against it. */
 const WINDOW_MS = 1_100;
 /** How long a share is kept before hosts are looked at again, in ms. */
-const SHARE_KEPT_MS = 500;
+const SHARE_TTL_MS = 500;
 
 /** What runners bear that have just started and are still slow. */
-export class ColdBound implements RunnerBound {
+export class ColdStartBound implements RunnerBound {
   readonly reason = 'cold runner has its share';
-  private readonly shares: KeptByRunner<number>;
+  private readonly shares: PerRunnerCache<number>;
 
   constructor(private readonly options: Options) {
     const {clock} = options;
-    this.shares = new KeptByRunner({
+    this.shares = new PerRunnerCache({
       clock,
-      keptMs: SHARE_KEPT_MS,
-      find: runner => this.findShare(runner),
+      ttlMs: SHARE_TTL_MS,
+      compute: runner => this.computeCalls(runner),
     });
   }
 
-  shareOf(runner: Runner): RunnerShare | undefined {
+  computeShare(runner: Runner): HostShare | undefined {
     if (!runner.isCold) return undefined;
     // A bound that has just come into force holds at once.
     if (!this.options.limitsOf(runner.entry.service)) return undefined;
-    return {calls: this.shares.of(runner), windowMs: WINDOW_MS, gapMs: 0};
+    return {calls: this.shares.get(runner), windowMs: WINDOW_MS, minIntervalMs: 0};
   }
 
-  private findShare({entry: {id, place, service}}: Runner): number {
+  private computeCalls({entry: {id, place, service}}: Runner): number {
     const {host, hostsOf, allHosts, limitsOf} = this.options;
     const limits = limitsOf(service);
     if (!limits) return Infinity;
--- a/packages/gateway/src/runners/connect_patience.test.ts
+++ b/packages/gateway/src/runners/connect_timeout.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ConnectPatience} from './connect_patience.js';
+import {ConnectTimeout} from './connect_timeout.js';
 
 void test('timeouts one after the other make the host wait longer, success ends that', () => {
-  const patience = new ConnectPatience();
+  const patience = new ConnectTimeout();
   const shortest = patience.timeoutMs;
   patience.noteTimeout();
   patience.noteTimeout();
@@ -15,7 +15,7 @@
 });
 
 void test('a slow link is given time in proportion to what it takes', () => {
-  const patience = new ConnectPatience();
+  const patience = new ConnectTimeout();
   patience.noteConnected(60);
   assert.ok(patience.timeoutMs >= 300);
 });
--- a/packages/gateway/src/runners/connection_pool.ts
+++ b/packages/gateway/src/runners/connection_pool.ts
@@ -1,7 +1,7 @@
 import {connect} from 'node:net';
 import type {Socket} from 'node:net';
 import type {Clock} from '@bayspool/kernel';
-import type {ConnectPatience} from './connect_patience.js';
+import type {ConnectTimeout} from './connect_timeout.js';
 import {ConnectFailure} from './connect_failure.js';
 import {PooledConnection} from './pooled_connection.js';
 
@@ -12,24 +12,24 @@
   /** Connections that this host may hold to the runner. */
   readonly maxConnections: () => number;
   /** How long a connection may take; shared by all pools of the host. */
-  readonly patience: ConnectPatience;
+  readonly connectTimeout: ConnectTimeout;
   readonly onOpened?: () => void;
 }
 
 /** Delay after which the system probes a silent connection, in ms. */
-const PROBE_DELAY_MS = 2_000;
+const KEEP_ALIVE_PROBE_DELAY_MS = 2_000;
 
 /** This host's connections to one runner. */
 export class ConnectionPool {
   private readonly idle: PooledConnection[] = [];
-  private open = 0;
+  private openCount = 0;
   private isClosed = false;
 
   constructor(private readonly options: Options) {}
 
   /** Whether a request can have a connection now. */
   get hasRoom(): boolean {
-    return this.idle.length > 0 || this.open < this.options.maxConnections();
+    return this.idle.length > 0 || this.openCount < this.options.maxConnections();
   }
 
   /** A connection that is up and carries nothing; fails with {@link ConnectFailure}. */
@@ -38,12 +38,12 @@
       const resting = this.idle.pop();
       if (!resting) break;
       if (resting.isUsable) {
-        resting.take();
+        resting.markInUse();
         return resting;
       }
       resting.discard();
     }
-    return this.openOne();
+    return this.openConnection();
   }
 
   /** Closes resting connections; the others close when they come to rest. */
@@ -53,39 +53,39 @@
   }
 
   /** Closes resting connections that are past their time. */
-  sweep(): void {
+  closeExpired(): void {
     for (const connection of [...this.idle])
       if (!connection.isUsable) connection.discard();
   }
 
-  private async openOne(): Promise<PooledConnection> {
-    const {clock, address, maxConnections, patience, onOpened} = this.options;
-    if (this.open >= maxConnections()) throw new ConnectFailure('saturated');
-    this.open += 1;
+  private async openConnection(): Promise<PooledConnection> {
+    const {clock, address, maxConnections, connectTimeout: patience, onOpened} = this.options;
+    if (this.openCount >= maxConnections()) throw new ConnectFailure('saturated');
+    this.openCount += 1;
     let socket: Socket;
     try {
       socket = await openSocket(clock, address, patience);
     } catch (error) {
-      this.open -= 1;
+      this.openCount -= 1;
       throw error;
     }
     onOpened?.();
     const connection = new PooledConnection({
       clock,
       socket,
-      onIdle: idle => this.putBack(idle),
-      onClose: closed => this.forget(closed),
+      onIdle: idle => this.addIdle(idle),
+      onClose: closed => this.remove(closed),
     });
     return connection;
   }
 
-  private putBack(connection: PooledConnection): void {
+  private addIdle(connection: PooledConnection): void {
     if (this.isClosed) connection.discard();
     else this.idle.push(connection);
   }
 
-  private forget(connection: PooledConnection): void {
-    this.open -= 1;
+  private remove(connection: PooledConnection): void {
+    this.openCount -= 1;
     const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
   }
@@ -94,7 +94,7 @@
 function openSocket(
   clock: Clock,
   address: string,
-  patience: ConnectPatience,
+  patience: ConnectTimeout,
 ): Promise<Socket> {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon);
@@ -110,7 +110,7 @@
       timer.cancel();
       patience.noteConnected(clock.now() - startedAt);
       socket.off('error', onError);
-      socket.setKeepAlive(true, PROBE_DELAY_MS);
+      socket.setKeepAlive(true, KEEP_ALIVE_PROBE_DELAY_MS);
       resolve(socket);
     });
     socket.once('error', onError);
--- a/packages/gateway/src/runners/runner_limit.test.ts
+++ b/packages/gateway/src/runners/declared_limit.test.ts
@@ -6,7 +6,7 @@
 import {GatewayFixture} from '../testing/gateway_fixture.js';
 import {plainHeaderNames as names} from '../testing/plain_header_names.js';
 import {ScriptedRunner} from '../testing/scripted_runner.js';
-import {RunnerLimit} from './runner_limit.js';
+import {DeclaredLimit} from './declared_limit.js';
 
 let fixture: GatewayFixture;
 let runner: ScriptedRunner;
@@ -42,20 +42,20 @@
 });
 
 void test('an answer to a request that was under way says nothing of the time after the limit was named', () => {
-  const limit = new RunnerLimit({clock: new VirtualClock()});
-  limit.noteAnswer({perSecond: 2}, 100, 200);
-  limit.noteAnswer({}, 150, 250);
+  const limit = new DeclaredLimit({clock: new VirtualClock()});
+  limit.updateFromResponse({perSecond: 2}, 100, 200);
+  limit.updateFromResponse({}, 150, 250);
   assert.equal(limit.perSecond, 2);
-  limit.noteAnswer({}, 201, 300);
+  limit.updateFromResponse({}, 201, 300);
   assert.equal(limit.perSecond, undefined);
 });
 
 void test('what another host heard before a later answer named no limit is old', () => {
-  const limit = new RunnerLimit({clock: new VirtualClock()});
-  limit.noteAnswer({}, 500, 600);
-  limit.take(2, 450);
+  const limit = new DeclaredLimit({clock: new VirtualClock()});
+  limit.updateFromResponse({}, 500, 600);
+  limit.updateFromPeer(2, 450);
   assert.equal(limit.perSecond, undefined);
-  limit.take(2, 550);
+  limit.updateFromPeer(2, 550);
   assert.equal(limit.perSecond, 2);
 });
 
--- a/packages/gateway/src/runners/runner_limit.ts
+++ b/packages/gateway/src/runners/declared_limit.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@bayspool/kernel';
 import type {LimitChange} from './limit_change.js';
-import type {LimitWord} from './limit_word.js';
+import type {LimitHeader} from './limit_header.js';
 
 interface Options {
   readonly clock: Clock;
@@ -9,12 +9,12 @@
 }
 
 /** How many requests a second one start of a runner takes from all hosts together, as its answers say. */
-export class RunnerLimit {
+export class DeclaredLimit {
   private current: number | undefined;
   /** As of when that is known, on this host's clock. */
   private asOf = -Infinity;
   /** Latest time at which a request was sent whose answer named no limit. */
-  private unnamedAt = -Infinity;
+  private absentAsOf = -Infinity;
   private lastMalformed: string | undefined;
 
   constructor(private readonly options: Options) {}
@@ -30,27 +30,27 @@
   }
 
   /** Takes in what the head of an answer says, which came at a time on the host's clock, to a request sent before. */
-  noteAnswer(word: LimitWord, sentAt: number, headAt: number): void {
-    this.noteMalformed(word);
+  updateFromResponse(word: LimitHeader, sentAt: number, headAt: number): void {
+    this.reportMalformed(word);
     if (word.perSecond !== undefined) {
       this.asOf = headAt;
       return this.set(word.perSecond);
     }
     // An answer that was under way when the limit was named says nothing of the time after.
-    this.unnamedAt = Math.max(this.unnamedAt, sentAt);
+    this.absentAsOf = Math.max(this.absentAsOf, sentAt);
     if (this.current === undefined || sentAt < this.asOf) return;
     this.asOf = sentAt;
     this.set(undefined);
   }
 
   /** Takes in what another host heard, as of a time on this host's clock. */
-  take(perSecond: number | undefined, asOf: number): void {
-    if (asOf <= Math.max(this.asOf, this.unnamedAt)) return;
+  updateFromPeer(perSecond: number | undefined, asOf: number): void {
+    if (asOf <= Math.max(this.asOf, this.absentAsOf)) return;
     this.asOf = asOf;
     this.set(perSecond, true);
   }
 
-  private noteMalformed({malformed}: LimitWord): void {
+  private reportMalformed({malformed}: LimitHeader): void {
     if (malformed !== undefined && malformed !== this.lastMalformed)
       this.options.onChange?.({malformed, ageMs: 0});
     this.lastMalformed = malformed;
@@ -61,6 +61,6 @@
     if (perSecond === previous) return;
     this.current = perSecond;
     const {ageMs} = this;
-    this.options.onChange?.({perSecond, previous, isTold, ageMs});
+    this.options.onChange?.({perSecond, previous, isFromPeer: isTold, ageMs});
   }
 }
--- a/packages/gateway/src/runners/limit_bound.test.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.test.ts
@@ -5,7 +5,7 @@
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
 import type {Cordons} from '../beliefs/cordons.js';
 import type {ConnectionPool} from './connection_pool.js';
-import {LimitBound} from './limit_bound.js';
+import {DeclaredLimitBound} from './declared_limit_bound.js';
 import {Runner} from './runner.js';
 import {RunnerGate} from './runner_gate.js';
 import {SentCalls} from './sent_calls.js';
@@ -66,7 +66,7 @@
       isDraining: false,
     };
     const pool = {hasRoom: true} as unknown as ConnectionPool;
-    const limit = new LimitBound({
+    const limit = new DeclaredLimitBound({
       clock,
       host,
       hosts: () => names.slice(0, knownTo(index, clock.now())),
@@ -75,13 +75,13 @@
     const gate = new RunnerGate({
       cordons: {has: () => false} as unknown as Cordons,
       bounds: [limit],
-      sent: new SentCalls({clock, keptMs: 5_000}),
+      sent: new SentCalls({clock, retentionMs: 5_000}),
     });
     const runner: Runner = new Runner({
       clock,
       entry,
       pool,
-      onLimit: ({isTold}) => {
+      onLimitChange: ({isFromPeer: isTold}) => {
         if (isTelling && !isTold) clock.after(URGENT_MS, tell);
       },
     });
@@ -93,12 +93,12 @@
     const limits = hosts.map(({runner}) => runner.limit);
     const newest = limits.reduce((a, b) => (b.ageMs < a.ageMs ? b : a));
     const {perSecond, ageMs} = newest;
-    for (const limit of limits) limit.take(perSecond, clock.now() - ageMs);
+    for (const limit of limits) limit.updateFromPeer(perSecond, clock.now() - ageMs);
   }
 
   function send(host: Host): void {
     const {gate, runner} = host;
-    if (gate.openOf([runner]).length === 0) return;
+    if (gate.filterOpen([runner]).length === 0) return;
     if (gate.admit(runner) !== undefined) return;
     const sentAt = clock.now();
     clock.after(random.next() * WAY_MS, () => {
@@ -111,7 +111,7 @@
     const perSecond = limitAt(clock.now());
     if (perSecond !== undefined && host.toldAt === Infinity)
       host.toldAt = clock.now();
-    host.runner.limit.noteAnswer({perSecond}, sentAt, clock.now());
+    host.runner.limit.updateFromResponse({perSecond}, sentAt, clock.now());
   }
 
   for (let now = 0; now < forMs; now += STEP_MS) {
--- a/packages/gateway/src/runners/limit_bound.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.ts
@@ -1,10 +1,10 @@
 import {computeHostShare, computeWindowQuota, rankByHash} from '@bayspool/decisions/calls';
 import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import {KeptByRunner} from './kept_by_runner.js';
+import {PerRunnerCache} from './per_runner_cache.js';
 import type {Runner} from './runner.js';
 import type {RunnerBound} from './runner_bound.js';
-import type {RunnerShare} from './runner_share.js';
+import type {HostShare} from './host_share.js';
 
 interface Options {
   readonly clock: Clock;
@@ -17,7 +17,7 @@
 }
 
 /** Where a host stands among those that share a runner's limit. */
-interface Standing {
+interface HostRank {
   readonly hosts: number;
   readonly rank: number;
 }
@@ -28,11 +28,11 @@
  * Least time between two calls of a host, in parts of an even spread: a runner in need is sent no window's calls at once, and a smaller
  * limit finds little of what was sent under a larger one.
  */
-const GAP_PART = 0.5;
+const MIN_INTERVAL_RATIO = 0.5;
 /** How long a standing is kept before hosts are looked at again, in ms. */
-const STANDING_KEPT_MS = 500;
+const RANK_TTL_MS = 500;
 /** Pause after which a runner of which nobody has heard is asked again, in ms: at least, and at most for small limits. */
-const LOOK_PAUSE_MS = {LEAST: 5_000, MOST: 10_000};
+const PROBE_INTERVAL_MS = {MIN: 5_000, MAX: 10_000};
 const MS_PER_SECOND = 1_000;
 
 /**
@@ -40,49 +40,49 @@
  * be gone or have no calls: once nobody has heard of a runner for a time, the hosts send it a call in turn, by rank.
  * So small limits are used as well, and the end of a limit, even of 0, is noticed.
  */
-export class LimitBound implements RunnerBound {
+export class DeclaredLimitBound implements RunnerBound {
   readonly reason = 'runner has what it says it takes';
-  private readonly standings: KeptByRunner<Standing>;
+  private readonly ranks: PerRunnerCache<HostRank>;
 
   constructor(private readonly options: Options) {
     const {clock} = options;
-    this.standings = new KeptByRunner({
+    this.ranks = new PerRunnerCache({
       clock,
-      keptMs: STANDING_KEPT_MS,
-      find: runner => this.findStanding(runner),
+      ttlMs: RANK_TTL_MS,
+      compute: runner => this.computeRank(runner),
     });
   }
 
-  shareOf(runner: Runner): RunnerShare | undefined {
+  computeShare(runner: Runner): HostShare | undefined {
     const {perSecond} = runner.limit;
     if (perSecond === undefined) return undefined;
     const {ageMs} = runner.limit;
     const tolerance = this.options.tolerance();
-    const standing = this.standings.of(runner);
+    const standing = this.ranks.get(runner);
     const calls = computeWindowQuota({...tolerance, perSecond});
     const own = computeHostShare({...standing, calls, minUsefulCalls: 1});
-    const isDue = isTurn(standing, ageMs, lookPauseMs(perSecond));
+    const isDue = isProbeTurn(standing, ageMs, computeProbeIntervalMs(perSecond));
     const share = Math.max(own, isDue ? 1 : 0);
     const windowMs = tolerance.windowMs + WINDOW_MARGIN_MS;
-    const gapMs = (windowMs / Math.max(1, share)) * GAP_PART;
-    return {calls: share, windowMs, gapMs};
+    const gapMs = (windowMs / Math.max(1, share)) * MIN_INTERVAL_RATIO;
+    return {calls: share, windowMs, minIntervalMs: gapMs};
   }
 
-  private findStanding({entry: {id}}: Runner): Standing {
+  private computeRank({entry: {id}}: Runner): HostRank {
     const hosts = this.options.hosts();
     const rank = rankByHash(`limit|${id}`, hosts).indexOf(this.options.host);
     return {hosts: hosts.length, rank};
   }
 }
 
-function lookPauseMs(perSecond: number): number {
-  const {LEAST, MOST} = LOOK_PAUSE_MS;
+function computeProbeIntervalMs(perSecond: number): number {
+  const {MIN: LEAST, MAX: MOST} = PROBE_INTERVAL_MS;
   return Math.min(MOST, Math.max(LEAST, MS_PER_SECOND / perSecond));
 }
 
 /** Whether it is this host's turn to ask a runner that nobody has heard of for a time. */
-function isTurn(
-  {hosts, rank}: Standing,
+function isProbeTurn(
+  {hosts, rank}: HostRank,
   ageMs: number,
   pauseMs: number,
 ): boolean {
--- a/packages/gateway/src/runners/is_urgent_limit.ts
+++ b/packages/gateway/src/runners/is_urgent_limit.ts
@@ -1,5 +1,5 @@
 /** Part of the limit before under which a smaller one cannot wait for the next exchange between hosts. */
-const MUCH_SMALLER = 0.5;
+const URGENT_RATIO = 0.5;
 
 /** Whether hosts that believe in the limit before would soon send far too much; undefined stands for no limit. */
 export function isUrgentLimit(
@@ -7,5 +7,5 @@
   before: number | undefined,
 ): boolean {
   if (perSecond === undefined) return false;
-  return before === undefined || perSecond < before * MUCH_SMALLER;
+  return before === undefined || perSecond < before * URGENT_RATIO;
 }
--- a/packages/gateway/src/runners/limit_change.ts
+++ b/packages/gateway/src/runners/limit_change.ts
@@ -4,7 +4,7 @@
   readonly perSecond?: number;
   readonly previous?: number;
   /** Whether another host told it, rather than an answer of the runner to this one. */
-  readonly isTold?: boolean;
+  readonly isFromPeer?: boolean;
   /** Time since the answer that says so, in ms. */
   readonly ageMs: number;
   /** Text of an answer that made no sense as a limit. */
--- a/packages/gateway/src/runners/kept_by_runner.ts
+++ b/packages/gateway/src/runners/per_runner_cache.ts
@@ -4,24 +4,24 @@
 interface Options<Value> {
   readonly clock: Clock;
   /** How long values are kept before they are found anew, in ms. */
-  readonly keptMs: number;
-  readonly find: (runner: Runner) => Value;
+  readonly ttlMs: number;
+  readonly compute: (runner: Runner) => Value;
 }
 
 /** A value for each runner that is costly to find and changes seldom: kept for a time, all together. */
-export class KeptByRunner<Value> {
+export class PerRunnerCache<Value> {
   private readonly values = new Map<string, Value>();
-  private keptSince = -Infinity;
+  private filledAt = -Infinity;
 
   constructor(private readonly options: Options<Value>) {}
 
   /** The value of a runner, as it was found at most that long ago. */
-  of(runner: Runner): Value {
-    const {clock, keptMs, find} = this.options;
+  get(runner: Runner): Value {
+    const {clock, ttlMs: keptMs, compute: find} = this.options;
     const now = clock.now();
-    if (now - this.keptSince > keptMs) {
+    if (now - this.filledAt > keptMs) {
       this.values.clear();
-      this.keptSince = now;
+      this.filledAt = now;
     }
     const {id} = runner.entry;
     const known = this.values.get(id);
--- a/packages/gateway/src/runners/pooled_connection.ts
+++ b/packages/gateway/src/runners/pooled_connection.ts
@@ -9,22 +9,22 @@
 }
 
 /** How long a connection may rest when the runner did not say, in ms. */
-const DEFAULT_REST_MS = 4_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
 /** Taken off the announced time, so that no request crosses the runner's close, in ms. */
-const REST_MARGIN_MS = 700;
+const IDLE_TIMEOUT_MARGIN_MS = 700;
 
 /** A connection to a runner that carries one request at a time. */
 export class PooledConnection {
   readonly socket: Socket;
-  private restMs = DEFAULT_REST_MS;
-  private usableUntil = Infinity;
+  private idleTimeoutMs = DEFAULT_IDLE_TIMEOUT_MS;
+  private expiresAt = Infinity;
   private failed = false;
-  private readonly dropOnData = () => this.discard();
+  private readonly discardOnData = () => this.discard();
 
   constructor(private readonly options: Options) {
     const {socket, onClose} = options;
     this.socket = socket;
-    socket.on('free', () => this.rest());
+    socket.on('free', () => this.markIdle());
     socket.once('close', () => onClose(this));
     // Errors surface at the request that uses the socket; a resting one just closes.
     socket.on('error', () => {
@@ -37,7 +37,7 @@
     return (
       !this.socket.destroyed &&
       this.socket.writable &&
-      this.options.clock.now() < this.usableUntil
+      this.options.clock.now() < this.expiresAt
     );
   }
 
@@ -47,19 +47,19 @@
   }
 
   /** Takes the connection for a request. */
-  take(): void {
-    this.socket.off('data', this.dropOnData);
-    this.usableUntil = Infinity;
+  markInUse(): void {
+    this.socket.off('data', this.discardOnData);
+    this.expiresAt = Infinity;
   }
 
   /** @param seconds what the runner says of how long it keeps a resting connection */
   noteKeepAlive(seconds: number): void {
-    this.restMs = Math.max(0, seconds * 1_000 - REST_MARGIN_MS);
+    this.idleTimeoutMs = Math.max(0, seconds * 1_000 - IDLE_TIMEOUT_MARGIN_MS);
   }
 
   /** Puts it back without having sent anything. */
   release(): void {
-    this.rest();
+    this.markIdle();
   }
 
   /** Closes it at once; it carries no other request. */
@@ -67,10 +67,10 @@
     this.socket.destroy();
   }
 
-  private rest(): void {
-    this.usableUntil = this.options.clock.now() + this.restMs;
+  private markIdle(): void {
+    this.expiresAt = this.options.clock.now() + this.idleTimeoutMs;
     // Bytes that no request asked for belong to no answer: the connection is spoiled.
-    this.socket.on('data', this.dropOnData);
+    this.socket.on('data', this.discardOnData);
     this.options.onIdle(this);
   }
 }
--- a/packages/gateway/src/runners/reading_rates.ts
+++ b/packages/gateway/src/runners/prefill_rates.ts
@@ -4,12 +4,12 @@
 }
 
 /** Time in which the cheapest model reads a prompt token, in ms, before anything is measured. */
-const FIRST_GUESS_MS = 0.012;
+const INITIAL_MS_PER_TOKEN = 0.012;
 /** Bounds of a learned time, in ms a token. */
-const MIN_MS = 0.001;
-const MAX_MS = 1;
+const MIN_MS_PER_TOKEN = 0.001;
+const MAX_MS_PER_TOKEN = 1;
 /** Fixed part of the time to a first event, in ms, which says nothing about reading. */
-const FIXED_MS = 20;
+const FIXED_OVERHEAD_MS = 20;
 /** Prompts shorter than this say more about the engine's steps than about reading, in tokens. */
 const MIN_TOKENS = 1_000;
 /**
@@ -19,17 +19,17 @@
  */
 const QUANTILE = 0.3;
 /** How far one measurement moves the learned time, as a part of its logarithm. */
-const STEP = 0.15;
+const STEP_SIZE = 0.15;
 
 /** How long each model takes to read a prompt token on an idle engine, learned from first events. */
-export class ReadingRates {
+export class PrefillRates {
   private readonly byModel = new Map<string, number>();
 
   constructor(private readonly options: Options = {}) {}
 
   /** ms a token. */
-  of(model: string): number {
-    return this.byModel.get(model) ?? this.guess(model);
+  getMsPerToken(model: string): number {
+    return this.byModel.get(model) ?? this.estimate(model);
   }
 
   /**
@@ -43,34 +43,34 @@
     wasUnloaded: boolean,
   ): void {
     if (tokens < MIN_TOKENS) return;
-    const measured = clamp((forMs - FIXED_MS) / tokens);
+    const measured = clamp((forMs - FIXED_OVERHEAD_MS) / tokens);
     const before = this.byModel.get(model);
     if (before === undefined) {
-      if (wasUnloaded || measured < this.guess(model))
+      if (wasUnloaded || measured < this.estimate(model))
         this.byModel.set(model, measured);
       return;
     }
-    if (measured < before) this.move(model, before, -STEP * (1 - QUANTILE));
-    else if (wasUnloaded) this.move(model, before, STEP * QUANTILE);
+    if (measured < before) this.adjust(model, before, -STEP_SIZE * (1 - QUANTILE));
+    else if (wasUnloaded) this.adjust(model, before, STEP_SIZE * QUANTILE);
   }
 
-  private move(model: string, before: number, by: number): void {
+  private adjust(model: string, before: number, by: number): void {
     this.byModel.set(model, clamp(before * Math.exp(by)));
   }
 
   /** From a model that is known, by what the two cost: a model that costs more reads more slowly. */
-  private guess(model: string): number {
+  private estimate(model: string): number {
     const {costFactorOf} = this.options;
     const factor = costFactorOf?.(model);
-    if (!costFactorOf || !factor) return FIRST_GUESS_MS;
+    if (!costFactorOf || !factor) return INITIAL_MS_PER_TOKEN;
     for (const [known, rate] of this.byModel) {
       const knownFactor = costFactorOf(known);
       if (knownFactor) return clamp((rate * factor) / knownFactor);
     }
-    return clamp(FIRST_GUESS_MS * factor);
+    return clamp(INITIAL_MS_PER_TOKEN * factor);
   }
 }
 
 function clamp(rate: number): number {
-  return Math.min(MAX_MS, Math.max(MIN_MS, rate));
+  return Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, rate));
 }
--- a/packages/gateway/src/runners/prefix_book.ts
+++ b/packages/gateway/src/runners/prefix_cache_index.ts
@@ -1,32 +1,32 @@
 import {hashToUint32} from '@bayspool/decisions/calls';
 import type {Prompt, PromptPart} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {PartNews} from './part_news.js';
+import type {PartKeysByRunner} from './part_keys_by_runner.js';
 
 interface Options {
   readonly clock: Clock;
 }
 
-interface Item {
+interface RecentPart {
   readonly runner: string;
   readonly key: number;
   readonly at: number;
 }
 
 /** Parts remembered for each runner; the oldest give way, as they do in the runner's memory. */
-const MAX_PARTS = 4_000;
+const MAX_PARTS_PER_RUNNER = 4_000;
 /**
  * How long a part read is told to other hosts, in ms: three passes between hosts, each of which
  * waits 0.4 s and a little more, and one that is lost.
  */
-const TOLD_MS = 2_500;
+const SHARED_FOR_MS = 2_500;
 /** Parts that are told at once, so that what hosts tell each other stays bounded; the newest count. */
-const MAX_TOLD = 64;
+const MAX_SHARED_KEYS = 64;
 
 /** Which parts of prompts the hosts had each runner read lately, by model. */
-export class PrefixBook {
+export class PrefixCacheIndex {
   private readonly byRunner = new Map<string, Set<number>>();
-  private items: Item[] = [];
+  private recentParts: RecentPart[] = [];
 
   constructor(private readonly options: Options) {}
 
@@ -34,8 +34,8 @@
    * Tells for any runner how many tokens at the start of the prompt it probably still keeps. The keys of
    * the parts are made once for all runners.
    */
-  keptTokensOf(model: string, {parts}: Prompt): (runner: string) => number {
-    const keys = parts.map(part => keyOf(model, part));
+  createCachedTokenCounter(model: string, {parts}: Prompt): (runner: string) => number {
+    const keys = parts.map(part => hashPart(model, part));
     return runner => {
       const known = this.byRunner.get(runner);
       if (!known) return 0;
@@ -46,44 +46,44 @@
   }
 
   /** Notes that a runner reads the parts of a prompt for this host. */
-  note(runner: string, model: string, prompt: Prompt): void {
+  notePrompt(runner: string, model: string, prompt: Prompt): void {
     const at = this.options.clock.now();
     const last = prompt.parts.length - 1;
     prompt.parts.forEach((part, index) => {
-      const key = keyOf(model, part);
-      const isNew = this.add(runner, key);
+      const key = hashPart(model, part);
+      const isNew = this.addKey(runner, key);
       // The last part belongs to the call or its session, which mostly stays with this host.
-      if (isNew && index < last) this.items.push({runner, key, at});
+      if (isNew && index < last) this.recentParts.push({runner, key, at});
     });
   }
 
   /** Parts that this host had runners read lately, for the other hosts. */
-  news(): PartNews {
-    const since = this.options.clock.now() - TOLD_MS;
-    this.items = this.items.filter(({at}) => at > since).slice(-MAX_TOLD);
+  collectRecentKeys(): PartKeysByRunner {
+    const since = this.options.clock.now() - SHARED_FOR_MS;
+    this.recentParts = this.recentParts.filter(({at}) => at > since).slice(-MAX_SHARED_KEYS);
     const news: Record<string, number[]> = {};
-    for (const {runner, key} of this.items) (news[runner] ??= []).push(key);
+    for (const {runner, key} of this.recentParts) (news[runner] ??= []).push(key);
     return news;
   }
 
   /** Takes in what other hosts had a runner read. */
-  takeNews(runner: string, keys: readonly number[]): void {
-    for (const key of keys) this.add(runner, key);
+  addKeysFromPeers(runner: string, keys: readonly number[]): void {
+    for (const key of keys) this.addKey(runner, key);
   }
 
   /** Drops what is remembered for a runner. */
-  forget(runner: string): void {
+  removeRunner(runner: string): void {
     this.byRunner.delete(runner);
-    this.items = this.items.filter(item => item.runner !== runner);
+    this.recentParts = this.recentParts.filter(item => item.runner !== runner);
   }
 
   /** @returns whether the part was not known for the runner */
-  private add(runner: string, key: number): boolean {
+  private addKey(runner: string, key: number): boolean {
     const parts = this.byRunner.get(runner) ?? new Set<number>();
     this.byRunner.set(runner, parts);
     const isNew = !parts.delete(key);
     parts.add(key);
-    if (parts.size > MAX_PARTS) {
+    if (parts.size > MAX_PARTS_PER_RUNNER) {
       const [oldest] = parts;
       parts.delete(oldest);
     }
@@ -91,6 +91,6 @@
   }
 }
 
-function keyOf(model: string, {id}: PromptPart): number {
+function hashPart(model: string, {id}: PromptPart): number {
   return hashToUint32(`${model}|${id}`);
 }
--- a/packages/gateway/src/runners/runner_chooser.test.ts
+++ b/packages/gateway/src/runners/runner_chooser.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
-import {ConnectPatience} from './connect_patience.js';
+import {ConnectTimeout} from './connect_timeout.js';
 import {ConnectionPool} from './connection_pool.js';
-import {PrefixBook} from './prefix_book.js';
-import {ReadingRates} from './reading_rates.js';
+import {PrefixCacheIndex} from './prefix_cache_index.js';
+import {PrefillRates} from './prefill_rates.js';
 import {Runner} from './runner.js';
 import {RunnerChooser} from './runner_chooser.js';
 
 const clock = new VirtualClock();
-const patience = new ConnectPatience();
+const patience = new ConnectTimeout();
 
 function createRunner(id: string, place: string): Runner {
   const entry = {
@@ -23,7 +23,7 @@
   };
   const pool = new ConnectionPool({
     clock,
-    patience,
+    connectTimeout: patience,
     address: entry.address,
     maxConnections: () => 10,
   });
@@ -32,8 +32,8 @@
 
 /** A chooser of a host in place a that reads a token in 0.1 ms, and what it knows. */
 function createChooser() {
-  const rates = new ReadingRates();
-  const prefixes = new PrefixBook({clock});
+  const rates = new PrefillRates();
+  const prefixes = new PrefixCacheIndex({clock});
   for (let i = 0; i < 200; i++) rates.learn('small', 1_000, 120, true);
   const chooser = new RunnerChooser({
     random: new SeededRandom(1),
@@ -41,7 +41,7 @@
     prefixes,
     place: 'a',
     hosts: () => 1,
-    isAssigned: () => false,
+    isInSubset: () => false,
     lostPlaces: () => new Set(),
   });
   return {chooser, prefixes};
@@ -61,7 +61,7 @@
   const query = {candidates, tried: new Set<string>(), bodyBytes: 0};
   const first = chooser.choose({...query, model: 'small', prompt});
   assert.equal(first?.unreadTokens, 10_000);
-  prefixes.note(first!.runner.entry.id, 'small', prompt);
+  prefixes.notePrompt(first!.runner.entry.id, 'small', prompt);
   const second = chooser.choose({...query, model: 'small', prompt});
   assert.equal(second?.runner.entry.id, first?.runner.entry.id);
   assert.ok(second!.unreadTokens <= 1);
@@ -79,8 +79,8 @@
       {id: 'own', tokens: 500},
     ],
   };
-  prefixes.note('far', 'small', small);
-  prefixes.note('far', 'small', prompt);
+  prefixes.notePrompt('far', 'small', small);
+  prefixes.notePrompt('far', 'small', prompt);
   const near = chooser.choose({...query, model: 'small', prompt: small});
   assert.equal(near?.runner.entry.id, 'near');
   const crossing = chooser.choose({...query, model: 'small', prompt});
@@ -91,11 +91,11 @@
   let asked = 0;
   const chooser = new RunnerChooser({
     random: new SeededRandom(1),
-    rates: new ReadingRates(),
-    prefixes: new PrefixBook({clock}),
+    rates: new PrefillRates(),
+    prefixes: new PrefixCacheIndex({clock}),
     place: 'a',
     hosts: () => 1,
-    isAssigned: () => false,
+    isInSubset: () => false,
     lostPlaces: () => {
       asked += 1;
       return new Set(['b']);
--- a/packages/gateway/src/runners/runner_chooser.ts
+++ b/packages/gateway/src/runners/runner_chooser.ts
@@ -1,8 +1,8 @@
 import {hashToUint32, combineHashes} from '@bayspool/decisions/calls';
 import type {Prompt} from '@bayspool/decisions/calls';
 import type {RandomSource} from '@bayspool/kernel';
-import type {PrefixBook} from './prefix_book.js';
-import type {ReadingRates} from './reading_rates.js';
+import type {PrefixCacheIndex} from './prefix_cache_index.js';
+import type {PrefillRates} from './prefill_rates.js';
 import type {Runner} from './runner.js';
 import type {RunnerChoice} from './runner_choice.js';
 import type {RunnerQuery} from './runner_query.js';
@@ -13,23 +13,23 @@
   /** Hosts that choose among the same runners, this one included. */
   readonly hosts: () => number;
   /** Whether this host is one of the few that look at a runner first. */
-  readonly isAssigned: (runner: Runner) => boolean;
+  readonly isInSubset: (runner: Runner) => boolean;
   /** Places whose runners are probably out of reach. */
   readonly lostPlaces: () => ReadonlySet<string>;
   readonly random: RandomSource;
-  readonly rates: ReadingRates;
-  readonly prefixes: PrefixBook;
+  readonly rates: PrefillRates;
+  readonly prefixes: PrefixCacheIndex;
 }
 
 /** Runners of which one is chosen, and why these. */
-interface Pool {
+interface CandidateSet {
   readonly reason: string;
   readonly runners: readonly Runner[];
   /** Runners among those looked at that were passed over as not sound. */
   readonly ejected: number;
 }
 
-interface Bid {
+interface ScoredRunner {
   readonly runner: Runner;
   readonly costMs: number;
   readonly workMs: number;
@@ -40,32 +40,32 @@
 /** What another running request adds to the time of a call, in ms: its part of the engine's steps. */
 const RUNNING_COST_MS = 4;
 /** The same for plain services, in ms; above their slots each request waits for a whole answer. */
-const SERVICE_RUNNING_COST_MS = 5;
+const PLAIN_RUNNING_COST_MS = 5;
 /** What each request above the slots of a plain service adds, in ms. */
-const SERVICE_QUEUED_COST_MS = 40;
+const PLAIN_QUEUED_COST_MS = 40;
 /** The way to a runner in another place and back, in ms. */
-const CROSSING_WAY_MS = 3;
+const CROSS_PLACE_ROUND_TRIP_MS = 3;
 /**
  * Waiting that bytes between places are worth avoiding, in ms a KB: measured, see
  * docs/design/deciding-well.md.
  */
-const CROSSING_MS_PER_KB = 40;
+const CROSS_PLACE_MS_PER_KB = 40;
 /** An answer's size as far as it is known before: some KB on the users' sheets, in bytes. */
-const ANSWER_BYTES = 2_000;
+const TYPICAL_RESPONSE_BYTES = 2_000;
 const BYTES_PER_KB = 1_000;
 /**
  * How often the reading of shared parts is taken to be saved later if their home does it now: once.
  * The home is the runner at which all hosts look for these parts.
  */
-const HOME_PART = 1;
+const OWNER_SAVING_FACTOR = 1;
 /** How many hosts look at a runner, on average. */
-const LOOKS_A_RUNNER = 5;
+const HOSTS_PER_RUNNER = 5;
 /** Runners that a host looks at in any case. */
-const MIN_LOOKS = 4;
+const MIN_SAMPLE_SIZE = 4;
 /** Runners of those that other hosts look at first that are looked at in any case, so that load can leave for them. */
-const MIN_DRAWN = 1;
+const MIN_RANDOM_RUNNERS = 1;
 /** Spread of random costs, in ms, so that hosts do not all take the same runner. */
-const SPREAD_MS = 3;
+const JITTER_MS = 3;
 
 /** Chooses the runner with the least expected time to the first event, kept prefixes counted. */
 export class RunnerChooser {
@@ -74,22 +74,22 @@
   /** The runner for a call; undefined if the service has none. */
   choose(query: RunnerQuery): RunnerChoice | undefined {
     const lost = this.options.lostPlaces();
-    const home = this.homeOf(query, lost);
-    const pool = this.look(query, lost, home) ?? lastResort(query, lost);
+    const home = this.findPrefixOwner(query, lost);
+    const pool = this.sampleRunners(query, lost, home) ?? findFallback(query, lost);
     if (!pool) return undefined;
     const {reason, runners, ejected} = pool;
-    const best = this.bestOf(runners, query, home);
+    const best = this.findCheapest(runners, query, home);
     const {runner, workMs, waitMs, unreadTokens} = best;
     return {runner, workMs, waitMs, unreadTokens, ejected, reason};
   }
 
   /** Reading that waits at a sound runner on average, in ms. */
-  meanPendingMs(candidates: readonly Runner[]): number {
+  computeMeanPendingMs(candidates: readonly Runner[]): number {
     const lost = this.options.lostPlaces();
     let sum = 0;
     let count = 0;
     for (const runner of candidates) {
-      if (!isSound(runner, lost)) continue;
+      if (!isHealthy(runner, lost)) continue;
       sum += runner.totalPendingMs;
       count += 1;
     }
@@ -97,7 +97,7 @@
   }
 
   /** The runner that all hosts expect to keep the shared parts of the prompt, of those that are sound. */
-  private homeOf(
+  private findPrefixOwner(
     {candidates, tried, prompt, model}: RunnerQuery,
     lost: ReadonlySet<string>,
   ): Runner | undefined {
@@ -105,23 +105,23 @@
     if (!deepest) return undefined;
     const part = hashToUint32(`${model}|${deepest.id}`);
     const isFit = (runner: Runner) =>
-      isOpen(runner, tried) && isSound(runner, lost);
-    const home = firstFor(part, candidates);
+      isAvailable(runner, tried) && isHealthy(runner, lost);
+    const home = findOwnerByHash(part, candidates);
     if (!home || isFit(home)) return home;
-    return firstFor(part, candidates.filter(isFit));
+    return findOwnerByHash(part, candidates.filter(isFit));
   }
 
-  private bestOf(
+  private findCheapest(
     runners: readonly Runner[],
     query: RunnerQuery,
     home: Runner | undefined,
-  ): Bid {
+  ): ScoredRunner {
     const {model, prompt} = query;
     const keptAt =
       prompt && model !== undefined
-        ? this.options.prefixes.keptTokensOf(model, prompt)
+        ? this.options.prefixes.createCachedTokenCounter(model, prompt)
         : () => 0;
-    let best: Bid | undefined;
+    let best: ScoredRunner | undefined;
     for (const runner of runners) {
       const kept = keptAt(runner.entry.id);
       const bid = this.bid(runner, query, runner === home, kept);
@@ -135,28 +135,28 @@
    * so that hosts that know the same loads do not all take the same runner. Only these are looked at: to look at all of a large
    * fleet would take a host half as long again.
    */
-  private look(
+  private sampleRunners(
     {candidates, tried}: RunnerQuery,
     lost: ReadonlySet<string>,
     home: Runner | undefined,
-  ): Pool | undefined {
-    const {hosts, random, isAssigned} = this.options;
-    const wanted = (candidates.length * LOOKS_A_RUNNER) / hosts();
+  ): CandidateSet | undefined {
+    const {hosts, random, isInSubset: isAssigned} = this.options;
+    const wanted = (candidates.length * HOSTS_PER_RUNNER) / hosts();
     const runners: Runner[] = [];
     const rest: Runner[] = [];
     let ejected = 0;
     if (home) runners.push(home);
     const add = (runner: Runner) => {
-      if (runner === home || !isOpen(runner, tried)) return;
-      if (isSound(runner, lost)) runners.push(runner);
+      if (runner === home || !isAvailable(runner, tried)) return;
+      if (isHealthy(runner, lost)) runners.push(runner);
       else ejected += 1;
     };
     for (const runner of candidates)
       if (isAssigned(runner)) add(runner);
       else rest.push(runner);
-    const count = Math.max(MIN_LOOKS, wanted, runners.length + MIN_DRAWN);
+    const count = Math.max(MIN_SAMPLE_SIZE, wanted, runners.length + MIN_RANDOM_RUNNERS);
     while (runners.length < count && rest.length > 0)
-      add(takeOne(rest, random));
+      add(removeRandom(rest, random));
     if (runners.length === 0) return undefined;
     return {reason: 'least expected time', runners, ejected};
   }
@@ -166,26 +166,26 @@
     query: RunnerQuery,
     isHome: boolean,
     kept: number,
-  ): Bid {
+  ): ScoredRunner {
     const {place, random} = this.options;
     const isLocal = runner.entry.place === place;
-    const crossing = isLocal ? 0 : crossingCost(query.bodyBytes);
-    const spread = random.next() * SPREAD_MS;
+    const crossing = isLocal ? 0 : computeCrossPlaceCostMs(query.bodyBytes);
+    const spread = random.next() * JITTER_MS;
     const {prompt, model} = query;
     if (!prompt || model === undefined) {
-      const costMs = (queueCost(runner) + crossing) * runner.slowness + spread;
+      const costMs = (computeQueueCostMs(runner) + crossing) * runner.slowness + spread;
       return {runner, costMs, workMs: 0, waitMs: 0, unreadTokens: 0};
     }
     const unreadTokens = Math.max(1, prompt.tokens - kept);
-    const rate = this.options.rates.of(model);
+    const rate = this.options.rates.getMsPerToken(model);
     const workMs = unreadTokens * rate;
     const waitMs =
       runner.totalPendingMs +
       runner.totalRunning * RUNNING_COST_MS +
       runner.slotWaitMs;
-    const sharedUnread = Math.max(0, sharedTokens(prompt) - kept);
+    const sharedUnread = Math.max(0, countSharedTokens(prompt) - kept);
     // Read once where the other hosts look for it, a part costs its later requests nothing.
-    const savedLaterMs = isHome ? sharedUnread * rate * HOME_PART : 0;
+    const savedLaterMs = isHome ? sharedUnread * rate * OWNER_SAVING_FACTOR : 0;
     const costMs =
       (waitMs + workMs) * runner.slowness + crossing + spread - savedLaterMs;
     return {runner, costMs, workMs, waitMs, unreadTokens};
@@ -193,18 +193,18 @@
 }
 
 /** What it costs to send a request to another place, in ms. */
-function crossingCost(bodyBytes: number): number {
-  const kilobytes = (bodyBytes + ANSWER_BYTES) / BYTES_PER_KB;
-  return CROSSING_WAY_MS + kilobytes * CROSSING_MS_PER_KB;
+function computeCrossPlaceCostMs(bodyBytes: number): number {
+  const kilobytes = (bodyBytes + TYPICAL_RESPONSE_BYTES) / BYTES_PER_KB;
+  return CROSS_PLACE_ROUND_TRIP_MS + kilobytes * CROSS_PLACE_MS_PER_KB;
 }
 
-function isSound(runner: Runner, lost: ReadonlySet<string>): boolean {
+function isHealthy(runner: Runner, lost: ReadonlySet<string>): boolean {
   if (runner.health.isEjected || runner.isQuiet) return false;
   return !lost.has(runner.entry.place);
 }
 
 /** Draws a runner by chance and takes it off the list, whose order is of no meaning. */
-function takeOne(rest: Runner[], random: RandomSource): Runner {
+function removeRandom(rest: Runner[], random: RandomSource): Runner {
   const at = random.below(rest.length);
   const one = rest[at];
   rest[at] = rest[rest.length - 1];
@@ -213,36 +213,36 @@
 }
 
 /** Where no sound runner is left that was not tried: the first set, the best ones first, that is not empty. */
-function lastResort(
+function findFallback(
   {candidates, tried}: RunnerQuery,
   lost: ReadonlySet<string>,
-): Pool | undefined {
+): CandidateSet | undefined {
   if (candidates.length === 0) return undefined;
-  const sound = candidates.filter(runner => isSound(runner, lost));
+  const sound = candidates.filter(runner => isHealthy(runner, lost));
   const ejected = candidates.length - sound.length;
   const again = sound.filter(runner => runner.pool.hasRoom);
   if (again.length > 0)
     return {reason: 'tried before', runners: again, ejected};
-  const unsound = candidates.filter(runner => isOpen(runner, tried));
+  const unsound = candidates.filter(runner => isAvailable(runner, tried));
   if (unsound.length > 0)
     return {reason: 'all ejected', runners: unsound, ejected};
   return {reason: 'all ejected and tried', runners: candidates, ejected};
 }
 
-function isOpen(runner: Runner, tried: ReadonlySet<string>): boolean {
+function isAvailable(runner: Runner, tried: ReadonlySet<string>): boolean {
   return !tried.has(runner.entry.id) && runner.pool.hasRoom;
 }
 
-function queueCost(runner: Runner): number {
+function computeQueueCostMs(runner: Runner): number {
   const over = Math.max(0, runner.totalRunning - runner.entry.slots + 1);
   return (
-    runner.totalRunning * SERVICE_RUNNING_COST_MS +
-    over * SERVICE_QUEUED_COST_MS
+    runner.totalRunning * PLAIN_RUNNING_COST_MS +
+    over * PLAIN_QUEUED_COST_MS
   );
 }
 
 /** The first runner for a part of prompts by rendezvous hashing. */
-function firstFor(
+function findOwnerByHash(
   part: number,
   runners: readonly Runner[],
 ): Runner | undefined {
@@ -257,6 +257,6 @@
   return first;
 }
 
-function sharedTokens(prompt: Prompt): number {
+function countSharedTokens(prompt: Prompt): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
--- a/packages/gateway/src/runners/runner_gate.ts
+++ b/packages/gateway/src/runners/runner_gate.ts
@@ -17,7 +17,7 @@
   constructor(private readonly options: Options) {}
 
   /** Those of the runners to which a request may be sent now. */
-  openOf(runners: readonly Runner[]): readonly Runner[] {
+  filterOpen(runners: readonly Runner[]): readonly Runner[] {
     if (runners.every(runner => this.isOpen(runner))) return runners;
     return runners.filter(runner => this.isOpen(runner));
   }
@@ -39,18 +39,18 @@
   }
 
   /** Those of the runners to which nothing may be sent now. */
-  withheldOf(runners: readonly Runner[]): WithheldRunner[] {
+  listWithheld(runners: readonly Runner[]): WithheldRunner[] {
     return runners.flatMap(runner => this.findWithheld(runner) ?? []);
   }
 
   /** Calls a second that this host may send to these runners together; Infinity if nothing bounds one of them. */
-  perSecond(runners: readonly Runner[]): number {
-    return runners.reduce((sum, runner) => sum + this.rateOf(runner), 0);
+  computeTotalRate(runners: readonly Runner[]): number {
+    return runners.reduce((sum, runner) => sum + this.computeRate(runner), 0);
   }
 
-  private rateOf(runner: Runner): number {
+  private computeRate(runner: Runner): number {
     const rates = this.options.bounds.map(bound => {
-      const share = bound.shareOf(runner);
+      const share = bound.computeShare(runner);
       if (!share) return Infinity;
       return (share.calls * MS_PER_SECOND) / share.windowMs;
     });
@@ -65,9 +65,9 @@
     const {bounds, sent: calls} = this.options;
     const {id} = runner.entry;
     for (const bound of bounds) {
-      const share = bound.shareOf(runner);
+      const share = bound.computeShare(runner);
       if (!share) continue;
-      const waitMs = calls.waitMs(id, share);
+      const waitMs = calls.computeWaitMs(id, share);
       if (waitMs === 0) continue;
       const sent = calls.countWithin(id, share.windowMs);
       return {runner, reason: bound.reason, share, sent, waitMs};
--- a/packages/gateway/src/runners/placing_under_load.test.ts
+++ b/packages/gateway/src/runners/runner_subset_under_load.test.ts
@@ -4,10 +4,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
-import {AssignedHosts} from './assigned_hosts.js';
+import {RunnerSubset} from './runner_subset.js';
 import type {ConnectionPool} from './connection_pool.js';
-import {PrefixBook} from './prefix_book.js';
-import {ReadingRates} from './reading_rates.js';
+import {PrefixCacheIndex} from './prefix_cache_index.js';
+import {PrefillRates} from './prefill_rates.js';
 import {Runner} from './runner.js';
 import {RunnerChooser} from './runner_chooser.js';
 
@@ -39,11 +39,11 @@
 
 /** One host with its own view of all runners. */
 function createHost(index: number, clock: VirtualClock, isAssigned: boolean) {
-  const rates = new ReadingRates();
+  const rates = new PrefillRates();
   for (let i = 0; i < 200; i++)
     rates.learn('small', 1_000, 1_000 * TOKEN_MS, true);
   const names = Array.from({length: HOSTS}, (_, i) => `host-${i}`);
-  const assigned = new AssignedHosts({
+  const assigned = new RunnerSubset({
     clock,
     host: names[index],
     hostsOf: () => names,
@@ -51,10 +51,10 @@
   const chooser = new RunnerChooser({
     random: new SeededRandom(index + 1),
     rates,
-    prefixes: new PrefixBook({clock}),
+    prefixes: new PrefixCacheIndex({clock}),
     place: PLACE,
     hosts: () => HOSTS,
-    isAssigned: runner => isAssigned && assigned.isOneFor(runner),
+    isInSubset: runner => isAssigned && assigned.includes(runner),
     lostPlaces: () => new Set(),
   });
   const runners = Array.from({length: RUNNERS}, (_, i) => {
@@ -92,7 +92,7 @@
       const pendingMs = told.reduce((sum, own) => sum + own[at].pendingMs, 0);
       hosts.forEach(({runners}, host) => {
         const own = told[host][at];
-        runners[at].others.take({
+        runners[at].peerLoad.updateFromPeers({
           running: running - own.running,
           pendingMs: pendingMs - own.pendingMs,
           ok: 0,
@@ -125,7 +125,7 @@
     const forMs = freeAt[at] - clock.now();
     runner.noteSent(workMs);
     clock.after(forMs, () => {
-      runner.noteFirst(workMs);
+      runner.notePrefillDone(workMs);
       runner.noteEnded(forMs);
     });
     waitedMs += beginsAt - clock.now();
--- a/packages/gateway/src/runners/send_request.ts
+++ b/packages/gateway/src/runners/send_request.ts
@@ -1,6 +1,6 @@
 import {request as startRequest} from 'node:http';
 import type {ClientRequest, IncomingMessage} from 'node:http';
-import {AssignedAgent} from './assigned_agent.js';
+import {AssignedSocketAgent} from './assigned_socket_agent.js';
 import {ExchangeFailure} from './exchange_failure.js';
 import type {PooledConnection} from './pooled_connection.js';
 import type {RunnerRequest} from './runner_request.js';
@@ -12,13 +12,13 @@
   readonly signal: AbortSignal;
 }
 
-const agent = new AssignedAgent();
+const agent = new AssignedSocketAgent();
 
 /** Sends a request on a connection; resolves with the head of the answer. */
 export function sendRequest(options: Options): Promise<IncomingMessage> {
   const {connection, request, signal} = options;
   return new Promise((resolve, reject) => {
-    const outgoing = startOn(connection, request);
+    const outgoing = startRequestOn(connection, request);
     const abort = () => outgoing.destroy();
     if (signal.aborted) abort();
     signal.addEventListener('abort', abort, {once: true});
@@ -39,7 +39,7 @@
   });
 }
 
-function startOn(
+function startRequestOn(
   connection: PooledConnection,
   request: RunnerRequest,
 ): ClientRequest {
--- a/packages/gateway/src/runners/sent_calls.ts
+++ b/packages/gateway/src/runners/sent_calls.ts
@@ -1,10 +1,10 @@
 import type {Clock} from '@bayspool/kernel';
-import type {RunnerShare} from './runner_share.js';
+import type {HostShare} from './host_share.js';
 
 interface Options {
   readonly clock: Clock;
   /** How long a call is remembered, in ms: no window is longer. */
-  readonly keptMs: number;
+  readonly retentionMs: number;
 }
 
 /** When this host sent calls to each runner, by the runner's id. */
@@ -15,7 +15,7 @@
 
   /** Notes a call that is sent now. */
   add(id: string): void {
-    const {clock, keptMs} = this.options;
+    const {clock, retentionMs: keptMs} = this.options;
     const now = clock.now();
     const times = this.times.get(id) ?? [];
     this.times.set(id, times);
@@ -36,7 +36,7 @@
   }
 
   /** Time until a share has room for a call, in ms; 0 if it has now, Infinity if it has none at all. */
-  waitMs(id: string, {calls, windowMs, gapMs}: RunnerShare): number {
+  computeWaitMs(id: string, {calls, windowMs, minIntervalMs: gapMs}: HostShare): number {
     if (calls < 1) return Infinity;
     const times = this.times.get(id) ?? [];
     // As many calls back as fit into a window.
@@ -47,7 +47,7 @@
   }
 
   /** Forgets a runner that is gone. */
-  forget(id: string): void {
+  removeRunner(id: string): void {
     this.times.delete(id);
   }
 }
--- a/packages/gateway/src/testing/directory_fixture.ts
+++ b/packages/gateway/src/testing/directory_fixture.ts
@@ -8,9 +8,9 @@
 import {Refusals} from '../records/refusals.js';
 import {Topic} from '../records/topic.js';
 import {TopicMirror} from '../records/topic_mirror.js';
-import {ConnectPatience} from '../runners/connect_patience.js';
+import {ConnectTimeout} from '../runners/connect_timeout.js';
 import {ConnectionPool} from '../runners/connection_pool.js';
-import {PrefixBook} from '../runners/prefix_book.js';
+import {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
 import type {LimitChange} from '../runners/limit_change.js';
 import {Runner} from '../runners/runner.js';
 
@@ -19,7 +19,7 @@
   readonly clock = new VirtualClock();
   readonly metrics = new GatewayMetrics();
   readonly lines: Array<Record<string, unknown>> = [];
-  readonly prefixes = new PrefixBook({clock: this.clock});
+  readonly prefixes = new PrefixCacheIndex({clock: this.clock});
   readonly directory: RunnerDirectory;
   /** Told of each runner that is no longer known. */
   onGone: (id: string) => void = () => undefined;
@@ -39,7 +39,7 @@
         },
       },
     });
-    const patience = new ConnectPatience();
+    const patience = new ConnectTimeout();
     this.directory = new RunnerDirectory({
       clock,
       log,
@@ -49,19 +49,19 @@
       refusals: new Refusals({log, metrics}),
       freshness: mirror,
       onGone: id => {
-        this.prefixes.forget(id);
+        this.prefixes.removeRunner(id);
         this.onGone(id);
       },
       createRunner: entry => {
         const pool = new ConnectionPool({
           clock,
-          patience,
+          connectTimeout: patience,
           address: entry.address,
           maxConnections: () => 1,
           onOpened: () => undefined,
         });
         const onLimit = (change: LimitChange) => this.onLimit(entry, change);
-        return new Runner({clock, entry, pool, onLimit});
+        return new Runner({clock, entry, pool, onLimitChange: onLimit});
       },
     });
     mirror.load({records: [], next: 0, isWhole: true}, clock.now());
