--- a/packages/gateway/src/calls/attempt_recorder.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -4,7 +4,7 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {Rollout} from '../rollouts/rollout.js';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import type {PrefillRates} from '../runners/prefill_rates.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
@@ -19,7 +19,7 @@
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
   readonly directory: RunnerDirectory;
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   readonly sessions: SessionVersions;
   readonly rates: PrefillRates;
 }
@@ -53,9 +53,9 @@
     const isFresh = version === rollout.order.version;
     const cellName = evidenceCellOf(progress);
     const expectedMs = expectedByPromptMs(progress, estimateLatencyMs(choice));
-    rollout.evidence.noteSent(isFresh);
+    rollout.evidence.recordSent(isFresh);
     if (!isLatencyComparable(progress, rollout)) return () => undefined;
-    return rollout.evidence.watch({cellName, isFresh, expectedMs, waitedMs});
+    return rollout.evidence.trackAttempt({cellName, isFresh, expectedMs, waitedMs});
   }
 
   /** Takes the outcome into what is believed of the runner and its version. */
@@ -142,9 +142,9 @@
     const firstMs = isTelling ? headMs : undefined;
     const eventMs = isTelling ? timing.eventMs : undefined;
     if (isTelling && kind === OutcomeKind.CALL_ENDED && headMs === undefined)
-      evidence.noteUnanswered(cell, isFresh, {firstMs: forMs, expectedMs});
+      evidence.recordUnanswered(cell, isFresh, {firstMs: forMs, expectedMs});
     if (isVersionEvidence(kind))
-      evidence.note(cell, isFresh, isFailure(kind), {
+      evidence.recordEnded(cell, isFresh, isFailure(kind), {
         firstMs,
         expectedMs,
         eventMs,
@@ -192,7 +192,7 @@
  */
 function isLatencyComparable(
   {isConcentrated}: CallProgress,
-  {isWatched}: Rollout,
+  {isCanary: isWatched}: Rollout,
 ): boolean {
   return isWatched && !isConcentrated;
 }
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -1,9 +1,9 @@
 import {RolloutPhase, chooseCanaryRunners} from '@bayspool/decisions/calls';
 import type {Quarantine, PriorityAdmission} from '@bayspool/decisions/calls';
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {VersionReason} from '../rollouts/version_reason.js';
-import type {VersionWish} from '../rollouts/version_wish.js';
+import type {VersionPreference} from '../rollouts/version_preference.js';
 import type {Runner} from '../runners/runner.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
 import type {RunnerChooser} from '../runners/runner_chooser.js';
@@ -18,7 +18,7 @@
   readonly chooser: RunnerChooser;
   readonly directory: RunnerDirectory;
   readonly gate: RunnerGate;
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** Who gets what runners of a service take, where that is less than is wanted. */
@@ -46,7 +46,7 @@
     const isGranted = wished.length > 0;
     progress.versionDecision = {wish, isGranted, candidateCount: known.length};
     // Without a runner of a wished version any will do, but for an answer that has begun.
-    const isBound = wish.reason === VersionReason.BEGUN;
+    const isBound = wish.reason === VersionReason.ANSWER_BEGUN;
     const allowed = isGranted || isBound ? wished : takers;
     const watched = this.narrowToCanaryRunners(takers, allowed, call.service);
     progress.isConcentrated = watched.length < allowed.length;
@@ -109,19 +109,19 @@
   private decideVersion(
     progress: CallProgress,
     takers: readonly Runner[],
-  ): VersionWish {
+  ): VersionPreference {
     const {call, triedRunners: tried, startedByVersion: begunBy, failedVersions} = progress;
     if (begunBy !== undefined && this.hasRunnerOfVersion(begunBy, call, takers)) {
       if (progress.unreachableCount < MAX_UNREACHABLE)
-        return {only: begunBy, reason: VersionReason.BEGUN};
-      return {not: begunBy, reason: VersionReason.OUT_OF_REACH};
+        return {preferred: begunBy, reason: VersionReason.ANSWER_BEGUN};
+      return {avoided: begunBy, reason: VersionReason.ANSWER_VERSION_UNREACHABLE};
     }
-    return this.options.rollouts.wishFor({
+    return this.options.rollouts.getVersionPreference({
       service: call.service,
       key: call.id,
       session: call.session,
       failedVersions,
-      hasUntried: version =>
+      hasUntriedRunner: version =>
         takers.some(
           ({entry}) => entry.version === version && !tried.has(entry.id),
         ),
@@ -146,7 +146,7 @@
   /** The runners of a version that is wished; one that appeared before its order waits for that. */
   private filterByVersion(
     takers: readonly Runner[],
-    {only, not}: VersionWish,
+    {preferred: only, avoided: not}: VersionPreference,
     service: string,
   ): readonly Runner[] {
     if (only !== undefined)
@@ -164,7 +164,7 @@
     service: string,
   ): readonly Runner[] {
     const rollout = this.options.rollouts.get(service);
-    if (!rollout?.isWatched) return allowed;
+    if (!rollout?.isCanary) return allowed;
     const {version} = rollout.order;
     if (allowed.some(({entry}) => entry.version !== version)) return allowed;
     const old = takers.filter(({entry}) => entry.version !== version);
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -9,7 +9,7 @@
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import type {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
 import type {PrefillRates} from '../runners/prefill_rates.js';
 import type {Runner} from '../runners/runner.js';
@@ -43,7 +43,7 @@
   readonly headerNames: HeaderNames;
   readonly directory: RunnerDirectory;
   readonly candidates: CallCandidates;
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   readonly sessions: SessionVersions;
   readonly chooser: RunnerChooser;
   readonly gate: RunnerGate;
--- a/packages/gateway/src/calls/call_progress.ts
+++ b/packages/gateway/src/calls/call_progress.ts
@@ -1,5 +1,5 @@
 import type {RetryReservation} from '@bayspool/decisions/calls';
-import type {VersionWish} from '../rollouts/version_wish.js';
+import type {VersionPreference} from '../rollouts/version_preference.js';
 import type {Runner} from '../runners/runner.js';
 import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
@@ -14,7 +14,7 @@
 
 /** What the last choice of a runner wished for, and whether a runner had it. */
 interface VersionDecision {
-  readonly wish: VersionWish;
+  readonly wish: VersionPreference;
   /** False if no runner had a version that was wished, so that any runner was taken. */
   readonly isGranted: boolean;
   /** Runners that might take the call, whatever their version and load. */
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -17,7 +17,7 @@
 import {Knowledge} from './parts/knowledge.js';
 import {observeParts} from './parts/observe_parts.js';
 import {Topic} from './records/topic.js';
-import {RolloutWriter} from './rollouts/rollout_writer.js';
+import {RolloutController} from './rollouts/rollout_controller.js';
 import {RunnerSubset} from './runners/runner_subset.js';
 import {PrefillRates} from './runners/prefill_rates.js';
 import {RunnerChooser} from './runners/runner_chooser.js';
@@ -39,7 +39,7 @@
   private readonly exchange: Exchange;
   private readonly lag: LoopLag;
   private readonly standstill: StandstillWatch;
-  private readonly writer: RolloutWriter;
+  private readonly writer: RolloutController;
   private readonly door: CallServer;
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
@@ -204,20 +204,20 @@
     return this.settings.keyBoundMs - KEY_MARGIN_MS;
   }
 
-  private createWriter(): RolloutWriter {
+  private createWriter(): RolloutController {
     const {ageClock, log, store, reader, settings} = this.options;
     const {mirrors, roster, rollouts, loads, starts} = this.knowledge;
-    return new RolloutWriter({
+    return new RolloutController({
       clock: ageClock,
       log,
       store,
       reader,
-      book: rollouts,
+      rollouts: rollouts,
       states: mirrors[Topic.STATUS],
       host: settings.host,
-      hosts: () => roster.living().map(({name}) => name),
+      liveHosts: () => roster.living().map(({name}) => name),
       oldRunning: rollout => loads.oldRunning(rollout),
-      noteStart: rollout => starts.note(rollout),
+      recordStart: rollout => starts.save(rollout),
     });
   }
 
--- a/packages/gateway/src/parts/host_loads.test.ts
+++ b/packages/gateway/src/parts/host_loads.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Quarantine} from '@bayspool/decisions/calls';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {DirectoryFixture} from '../testing/directory_fixture.js';
 import {PlainReader} from '../testing/plain_reader.js';
 import {HostLoads} from './host_loads.js';
@@ -20,8 +20,8 @@
   const {directory, prefixes} = fixture;
   const rollouts = {
     all: () => [],
-    noteRemote: () => undefined,
-  } as unknown as RolloutBook;
+    applyRemoteDigests: () => undefined,
+  } as unknown as RolloutRegistry;
   const {clock} = fixture;
   const quarantine = new Quarantine({clock});
   const loads = new HostLoads({
--- a/packages/gateway/src/parts/host_loads.ts
+++ b/packages/gateway/src/parts/host_loads.ts
@@ -3,7 +3,7 @@
 import type {RunnerDirectory} from '../beliefs/runner_directory.js';
 import type {LoadDigest} from '../peers/load_digest.js';
 import type {Rollout} from '../rollouts/rollout.js';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import type {PartKeysByRunner} from '../runners/part_keys_by_runner.js';
 import type {PrefixCacheIndex} from '../runners/prefix_cache_index.js';
 import {getIncarnationId} from '../runners/get_incarnation_id.js';
@@ -11,7 +11,7 @@
 interface Options {
   readonly clock: Clock;
   readonly directory: RunnerDirectory;
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   readonly prefixes: PrefixCacheIndex;
   readonly quarantine: Quarantine;
 }
@@ -51,7 +51,7 @@
         .all()
         .map(rollout => [
           rollout.order.service,
-          rollout.digest(this.oldRunning(rollout)),
+          rollout.createDigest(this.oldRunning(rollout)),
         ]),
     );
     const quarantine = this.options.quarantine.createDigest();
@@ -70,7 +70,7 @@
       const keys = parts[start];
       if (keys) prefixes.addKeysFromPeers(runner.entry.id, keys);
     }
-    this.options.rollouts.noteRemote(rollouts);
+    this.options.rollouts.applyRemoteDigests(rollouts);
     if (quarantine) this.options.quarantine.mergeDigest(quarantine);
   }
 
--- a/packages/gateway/src/parts/knowledge.ts
+++ b/packages/gateway/src/parts/knowledge.ts
@@ -11,8 +11,8 @@
 import {StoreHealth} from '../records/store_health.js';
 import {TopicMirror} from '../records/topic_mirror.js';
 import {Topic} from '../records/topic.js';
-import {RolloutBook} from '../rollouts/rollout_book.js';
-import {RolloutStarts} from '../rollouts/rollout_starts.js';
+import {RolloutRegistry} from '../rollouts/rollout_registry.js';
+import {RolloutStartRecords} from '../rollouts/rollout_start_records.js';
 import {ColdStartBound} from '../runners/cold_start_bound.js';
 import {ConnectTimeout} from '../runners/connect_timeout.js';
 import {ConnectionPool} from '../runners/connection_pool.js';
@@ -65,9 +65,9 @@
   /** Which version each session has. */
   readonly sessions: SessionVersions;
   /** When roll-outs started. */
-  readonly starts: RolloutStarts;
+  readonly starts: RolloutStartRecords;
   /** The roll-outs. */
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** Keeps that in the store. */
@@ -156,7 +156,7 @@
       createRunner: entry => this.createRunner(entry),
     });
     cordons.onChange(() => this.directory.forgetTakers());
-    this.starts = new RolloutStarts({
+    this.starts = new RolloutStartRecords({
       clock,
       refusals,
       store,
@@ -166,7 +166,7 @@
       clock,
       retentionMs: settings.sessionKeptMs,
     });
-    this.rollouts = new RolloutBook({
+    this.rollouts = new RolloutRegistry({
       clock,
       log,
       reader,
@@ -174,9 +174,9 @@
       sessions: this.sessions,
       orders: freshness,
       states: mirrors[Topic.STATUS],
-      isInTouch: () => ageClock.now() - freshness.provenAt < TOUCH_MS,
-      starts: this.starts,
-      hosts: () => this.roster.livingCount,
+      isConnected: () => ageClock.now() - freshness.provenAt < TOUCH_MS,
+      startRecords: this.starts,
+      hostCount: () => this.roster.livingCount,
       exposureBounds: () => {
         const {exposureShare: share, exposureCalls: calls} = liveSettings();
         return {share, calls};
--- a/packages/gateway/src/parts/observe_parts.ts
+++ b/packages/gateway/src/parts/observe_parts.ts
@@ -8,7 +8,7 @@
 import type {LoopLag} from '../observability/loop_lag.js';
 import type {NewsLoop} from '../peers/news_loop.js';
 import type {Roster} from '../peers/roster.js';
-import type {RolloutBook} from '../rollouts/rollout_book.js';
+import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {countRunners} from './count_runners.js';
 import type {ServiceLimits} from './service_limits.js';
 import {tellEvidence} from './tell_evidence.js';
@@ -26,7 +26,7 @@
   readonly news: NewsLoop;
   readonly roster: Roster;
   readonly limits: ServiceLimits;
-  readonly rollouts: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   readonly quarantine: Quarantine;
 }
 
--- a/packages/gateway/src/peers/count_on.ts
+++ b/packages/gateway/src/peers/count_on.ts
@@ -1,5 +1,5 @@
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
-import {tellsAge} from '../rollouts/tells_age.js';
+import {hasKnownAge} from '../rollouts/has_known_age.js';
 import type {LoadDigest} from './load_digest.js';
 
 /**
@@ -16,7 +16,7 @@
   for (const service of services) {
     const rollout = digest.rollouts[service];
     const {elapsedMs} = rollout;
-    rollouts[service] = tellsAge(rollout)
+    rollouts[service] = hasKnownAge(rollout)
       ? {...rollout, elapsedMs: elapsedMs + byMs}
       : rollout;
   }
--- a/packages/gateway/src/peers/merge_loads.ts
+++ b/packages/gateway/src/peers/merge_loads.ts
@@ -1,5 +1,5 @@
 import {mergeQuarantineNews} from '../quarantine/merge_quarantine_news.js';
-import {mergeRollouts} from '../rollouts/merge_rollouts.js';
+import {mergeRolloutDigests} from '../rollouts/merge_rollout_digests.js';
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
 import type {LoadDigest} from './load_digest.js';
 import {mergeParts} from './merge_parts.js';
@@ -24,7 +24,7 @@
     }
     for (const [service, rollout] of Object.entries(digest.rollouts)) {
       const sum = rollouts[service];
-      rollouts[service] = sum ? mergeRollouts(sum, rollout) : rollout;
+      rollouts[service] = sum ? mergeRolloutDigests(sum, rollout) : rollout;
     }
   }
   const parts = mergeParts(digests.map(digest => digest.parts ?? {}));
--- a/packages/gateway/src/peers/rollout_ages.test.ts
+++ b/packages/gateway/src/peers/rollout_ages.test.ts
@@ -72,7 +72,7 @@
     if (from === this.place) this.board.noteAll(sum);
     else this.board.notePlace(from, sum);
     const told = this.board.others().rollouts[SERVICE];
-    if (told) this.rollout.noteElapsed(told);
+    if (told) this.rollout.mergeAge(told);
     this.noteLag(lagMs);
   }
 
@@ -84,7 +84,7 @@
     const {clock, place} = this;
     const own = () => ({
       runners: {},
-      rollouts: {[SERVICE]: this.rollout.digest(0)},
+      rollouts: {[SERVICE]: this.rollout.createDigest(0)},
     });
     return new LoadBoard({clock, place, own});
   }
@@ -164,7 +164,7 @@
 }
 
 function check(host: Host, ageMs: number): void {
-  const {elapsedMs, isSeen} = host.rollout.digest(0);
+  const {elapsedMs, isSeen} = host.rollout.createDigest(0);
   // Only where nobody who saw the order told its age is a time of day the best there is.
   const aheadMs = isSeen ? 0 : MAX_SKEW_MS;
   assert.ok(elapsedMs <= ageMs + aheadMs, `${elapsedMs} at ${ageMs} ms`);
--- a/packages/gateway/src/rollouts/tally_cell.ts
+++ b/packages/gateway/src/rollouts/cell_tally.ts
@@ -1,5 +1,5 @@
 /** Counts of one version's attempts on one route with one model. */
-export interface TallyCell {
+export interface CellTally {
   ended: number;
   failed: number;
   slow: number;
--- a/packages/gateway/src/rollouts/merge_rollouts.ts
+++ b/packages/gateway/src/rollouts/merge_rollout_digests.ts
@@ -1,19 +1,19 @@
 import {mergeShareSteps} from './merge_share_steps.js';
-import {olderAge} from './older_age.js';
+import {selectAge} from './select_age.js';
 import type {RolloutAge} from './rollout_age.js';
 import type {RolloutDigest} from './rollout_digest.js';
 
 type Cells = RolloutDigest['fresh'];
 
 /** The sum of two digests of one service; the newer order wins. */
-export function mergeRollouts(
+export function mergeRolloutDigests(
   a: RolloutDigest,
   b: RolloutDigest,
 ): RolloutDigest {
   if (a.offset !== b.offset) return a.offset > b.offset ? a : b;
   return {
     offset: a.offset,
-    ...toAge(olderAge(a, b)),
+    ...toAge(selectAge(a, b)),
     isBad: a.isBad || b.isBad,
     shares: mergeShareSteps(a.shares, b.shares),
     oldRunning: a.oldRunning + b.oldRunning,
--- a/packages/gateway/src/rollouts/recent_evidence.test.ts
+++ b/packages/gateway/src/rollouts/recent_evidence.test.ts
@@ -20,7 +20,7 @@
     fresh: readonly [number, number, number],
     old: readonly [number, number, number],
   ) => {
-    const seen = recent.take({fresh: {[CELL]: fresh}, old: {[CELL]: old}});
+    const seen = recent.update({fresh: {[CELL]: fresh}, old: {[CELL]: old}});
     clock.advance(500);
     return {fresh: tallyOf(seen.fresh[CELL]), old: tallyOf(seen.old[CELL])};
   };
--- a/packages/gateway/src/rollouts/rollout_age.test.ts
+++ b/packages/gateway/src/rollouts/rollout_age.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {VirtualClock} from '@bayspool/kernel';
 import {EventLog} from '../observability/event_log.js';
-import {mergeRollouts} from './merge_rollouts.js';
+import {mergeRolloutDigests} from './merge_rollout_digests.js';
 import {Rollout} from './rollout.js';
 
 const DURATION_MS = 24_000;
@@ -25,11 +25,11 @@
 void test('a time that a host saw goes before one that a clock ahead tells', () => {
   const seen = createRollout(4_000, true);
   const ahead = createRollout(4_000 + AHEAD_MS, false);
-  seen.noteElapsed(ahead.digest(0));
+  seen.mergeAge(ahead.createDigest(0));
   assert.equal(seen.elapsedMs, 4_000);
-  ahead.noteElapsed(seen.digest(0));
+  ahead.mergeAge(seen.createDigest(0));
   assert.equal(ahead.elapsedMs, 4_000);
-  ahead.noteElapsed({elapsedMs: 4_000 + AHEAD_MS, isSeen: false});
+  ahead.mergeAge({elapsedMs: 4_000 + AHEAD_MS, isSeen: false});
   assert.equal(ahead.elapsedMs, 4_000);
 });
 
@@ -38,20 +38,20 @@
   const late = createRollout(2_000, true);
   const ahead = createRollout(9_000, false);
   const sum = [ahead, late, early]
-    .map(rollout => rollout.digest(0))
-    .reduce(mergeRollouts);
+    .map(rollout => rollout.createDigest(0))
+    .reduce(mergeRolloutDigests);
   assert.equal(sum.elapsedMs, 3_000);
   assert.equal(sum.isSeen, true);
-  late.noteElapsed(sum);
+  late.mergeAge(sum);
   assert.equal(late.elapsedMs, 3_000);
-  early.noteElapsed(late.digest(0));
+  early.mergeAge(late.createDigest(0));
   assert.equal(early.elapsedMs, 3_000);
 });
 
 void test('after a restart of all hosts the longest time that clocks tell holds', () => {
   const one = createRollout(0, false);
-  one.noteElapsed({elapsedMs: 6_000, isSeen: false});
-  one.noteElapsed({elapsedMs: 5_000, isSeen: false});
+  one.mergeAge({elapsedMs: 6_000, isSeen: false});
+  one.mergeAge({elapsedMs: 5_000, isSeen: false});
   assert.equal(one.elapsedMs, 6_000);
 });
 
@@ -69,10 +69,10 @@
 
 void test('what another host tells of an age goes before the own time of day, also before the wait is over', () => {
   const started = createRollout(16_000, false);
-  started.noteElapsed({elapsedMs: 0, isSeen: false});
+  started.mergeAge({elapsedMs: 0, isSeen: false});
   assert.equal(started.isAgeKnown, false);
-  started.noteElapsed({elapsedMs: 9_000, isSeen: false});
+  started.mergeAge({elapsedMs: 9_000, isSeen: false});
   assert.equal(started.elapsedMs, 9_000);
-  started.guessElapsed(16_000);
+  started.applyWallClockElapsed(16_000);
   assert.equal(started.elapsedMs, 9_000);
 });
--- a/packages/gateway/src/rollouts/rollout_writer.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -6,41 +6,41 @@
 import {Topic} from '../records/topic.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
 import {logRolloutCounts} from './log_rollout_counts.js';
-import type {RolloutBook} from './rollout_book.js';
+import type {RolloutRegistry} from './rollout_registry.js';
 import type {Rollout} from './rollout.js';
 
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
-  readonly book: RolloutBook;
+  readonly rollouts: RolloutRegistry;
   readonly states: TopicMirror;
   readonly store: RecordStore;
   readonly reader: WireReader;
   readonly host: string;
   /** Hosts that are taken to live, this one included. */
-  readonly hosts: () => readonly string[];
+  readonly liveHosts: () => readonly string[];
   /** Requests of this host that run on other versions than the roll-out's. */
   readonly oldRunning: (rollout: Rollout) => number;
   /** Notes in the store when a roll-out began. */
-  readonly noteStart: (rollout: Rollout) => Promise<void>;
+  readonly recordStart: (rollout: Rollout) => Promise<void>;
 }
 
 /** Pause between two looks at what is to be written, in ms. */
-const TICK_MS = 200;
+const ACTIVE_INTERVAL_MS = 200;
 /** The same while no roll-out is active: each look wakes an idle process. */
-const IDLE_TICK_MS = 500;
+const IDLE_INTERVAL_MS = 500;
 /** Least pause between two lines of what was given to the versions of a roll-out, in ms. */
-const COUNT_PAUSE_MS = 1_000;
+const COUNTS_LOG_INTERVAL_MS = 1_000;
 /** How long each next host waits for the one before it to write, in ms. */
-const TURN_MS = 900;
+const TAKEOVER_DELAY_MS = 900;
 /** Pause after a failed write, in ms. */
-const RETRY_MS = 500;
+const RETRY_DELAY_MS = 500;
 
 /** Judges roll-outs, and tells the store their phases: one host writes, the others stand by. */
-export class RolloutWriter {
+export class RolloutController {
   private timer: Timer | undefined;
-  private readonly dueSince = new Map<Rollout, number>();
-  private readonly countedAt = new Map<Rollout, number>();
+  private readonly phaseDueSince = new Map<Rollout, number>();
+  private readonly countsLoggedAt = new Map<Rollout, number>();
   private readonly announced = new Set<Rollout>();
   private isWriting = false;
 
@@ -48,12 +48,12 @@
 
   /** Starts to write the states of roll-outs where it is for this host to do. */
   start(): void {
-    const {book, clock} = this.options;
+    const {rollouts: book, clock} = this.options;
     const isActive = book
       .all()
       .some(({phase}) => phase === RolloutPhase.ACTIVE);
-    this.timer = clock.after(isActive ? TICK_MS : IDLE_TICK_MS, () => {
-      for (const rollout of book.all()) this.look(rollout);
+    this.timer = clock.after(isActive ? ACTIVE_INTERVAL_MS : IDLE_INTERVAL_MS, () => {
+      for (const rollout of book.all()) this.reconcile(rollout);
       this.start();
     });
   }
@@ -63,7 +63,7 @@
     this.timer?.cancel();
   }
 
-  private look(rollout: Rollout): void {
+  private reconcile(rollout: Rollout): void {
     rollout.judge();
     if (rollout.phase !== RolloutPhase.ACTIVE) return;
     this.logCounts(rollout);
@@ -71,39 +71,39 @@
     if (this.isWriting) return;
     // A start that is noted by a host that does not know the age would mislead all that restart later.
     if (!rollout.isAgeKnown) return;
-    if (!this.announced.has(rollout) && this.turnOf(rollout) === 0) {
-      void this.writeAlone(() => this.announce(rollout));
+    if (!this.announced.has(rollout) && this.rankOwnHost(rollout) === 0) {
+      void this.writeExclusively(() => this.announceStart(rollout));
       return;
     }
-    const phase = this.duePhase(rollout);
+    const phase = this.findDuePhase(rollout);
     if (!phase) {
-      this.dueSince.delete(rollout);
+      this.phaseDueSince.delete(rollout);
       return;
     }
     const now = this.options.clock.now();
-    const since = this.dueSince.get(rollout) ?? now;
-    this.dueSince.set(rollout, since);
-    if (now - since < this.turnOf(rollout) * TURN_MS) return;
-    void this.writeAlone(() => this.write(rollout, phase));
+    const since = this.phaseDueSince.get(rollout) ?? now;
+    this.phaseDueSince.set(rollout, since);
+    if (now - since < this.rankOwnHost(rollout) * TAKEOVER_DELAY_MS) return;
+    void this.writeExclusively(() => this.write(rollout, phase));
   }
 
   private logCounts(rollout: Rollout): void {
     const {clock, log} = this.options;
-    const countedAt = this.countedAt.get(rollout) ?? -Infinity;
-    if (clock.now() - countedAt < COUNT_PAUSE_MS) return;
-    this.countedAt.set(rollout, clock.now());
+    const countedAt = this.countsLoggedAt.get(rollout) ?? -Infinity;
+    if (clock.now() - countedAt < COUNTS_LOG_INTERVAL_MS) return;
+    this.countsLoggedAt.set(rollout, clock.now());
     logRolloutCounts(log, rollout);
   }
 
-  private duePhase(rollout: Rollout): RolloutPhase | undefined {
+  private findDuePhase(rollout: Rollout): RolloutPhase | undefined {
     if (rollout.isBad) return RolloutPhase.REVERTED;
     const oldRunning =
-      this.options.oldRunning(rollout) + (rollout.remote?.oldRunning ?? 0);
+      this.options.oldRunning(rollout) + (rollout.remoteDigest?.oldRunning ?? 0);
     return rollout.mayComplete(oldRunning) ? RolloutPhase.COMPLETE : undefined;
   }
 
-  private turnOf(rollout: Rollout): number {
-    const {hosts, host} = this.options;
+  private rankOwnHost(rollout: Rollout): number {
+    const {liveHosts: hosts, host} = this.options;
     const {service, offset} = rollout.order;
     return rankByHash(`${service}|${offset}`, hosts()).indexOf(host);
   }
@@ -112,7 +112,7 @@
    * Writes while no other write of this host is under way. Without it, the end of a roll-out went before its
    * announcement if it came within a write of it, and of two roll-outs ordered at once one was never announced.
    */
-  private async writeAlone(write: () => Promise<void>): Promise<void> {
+  private async writeExclusively(write: () => Promise<void>): Promise<void> {
     this.isWriting = true;
     try {
       await write();
@@ -121,11 +121,11 @@
     }
   }
 
-  private async announce(rollout: Rollout): Promise<void> {
+  private async announceStart(rollout: Rollout): Promise<void> {
     this.announced.add(rollout);
-    if (this.options.book.stateOf(rollout)) return;
+    if (this.options.rollouts.findState(rollout)) return;
     try {
-      await this.options.noteStart(rollout);
+      await this.options.recordStart(rollout);
     } catch (error) {
       // Only a hint for hosts that restart: without it they count from when they learn of the order.
       this.options.log.write('unexpected', {
@@ -140,25 +140,25 @@
     const {log, store, reader} = this.options;
     const {service, version} = rollout.order;
     try {
-      const isOpen = await this.refreshState(rollout);
+      const isOpen = await this.reloadStates(rollout);
       if (!isOpen) return;
       // Another host announced it a moment ago.
-      if (phase === RolloutPhase.ACTIVE && this.options.book.stateOf(rollout))
+      if (phase === RolloutPhase.ACTIVE && this.options.rollouts.findState(rollout))
         return;
       const {key, value} = reader.writeState({service, version, phase});
       const expectedEnd = this.options.states.next;
       await store.append({topic: Topic.STATUS, key, value, expectedEnd});
       log.write('rollout_written', {service, version, phase});
-      if (phase !== RolloutPhase.ACTIVE) rollout.end(phase, expectedEnd);
+      if (phase !== RolloutPhase.ACTIVE) rollout.markEnded(phase, expectedEnd);
     } catch (error) {
       const reason = String(error);
       log.write('rollout_write_failed', {service, version, phase, reason});
-      this.dueSince.set(rollout, this.options.clock.now() + RETRY_MS);
+      this.phaseDueSince.set(rollout, this.options.clock.now() + RETRY_DELAY_MS);
     }
   }
 
   /** Reads the states anew, so that a phase once final is never replaced. */
-  private async refreshState(rollout: Rollout): Promise<boolean> {
+  private async reloadStates(rollout: Rollout): Promise<boolean> {
     const {clock, store, states} = this.options;
     const asOf = clock.now();
     states.load(await store.readNewest(Topic.STATUS), asOf);
--- a/packages/gateway/src/rollouts/rollout_counts.test.ts
+++ b/packages/gateway/src/rollouts/rollout_counts.test.ts
@@ -25,34 +25,34 @@
     isSeen: true,
     statesFrom: 0,
   });
-  for (let i = 0; i < fresh; i++) rollout.evidence.noteSent(true);
-  for (let i = 0; i < old; i++) rollout.evidence.noteSent(false);
+  for (let i = 0; i < fresh; i++) rollout.evidence.recordSent(true);
+  for (let i = 0; i < old; i++) rollout.evidence.recordSent(false);
   return rollout;
 }
 
 function tell(rollout: Rollout) {
-  return {runners: {}, rollouts: {svc: rollout.digest(0)}};
+  return {runners: {}, rollouts: {svc: rollout.createDigest(0)}};
 }
 
 void test('what all hosts sent to the two versions is summed, without what a host told itself', () => {
   const own = createRollout(2, 10);
   const other = createRollout(3, 20);
   const sum = mergeLoads([tell(own), tell(other)]);
-  own.remote = takeOff(sum, tell(own)).rollouts.svc;
+  own.remoteDigest = takeOff(sum, tell(own)).rollouts.svc;
   assert.deepEqual(own.sent, {fresh: 5, old: 30});
 });
 
 void test('a host of an earlier version that tells no counts adds none', () => {
   const own = createRollout(2, 10);
-  const {freshSent, oldSent, ...earlier} = createRollout(3, 20).digest(0);
+  const {freshSent, oldSent, ...earlier} = createRollout(3, 20).createDigest(0);
   assert.deepEqual([freshSent, oldSent], [3, 20]);
-  own.remote = earlier;
+  own.remoteDigest = earlier;
   assert.deepEqual(own.sent, {fresh: 2, old: 10});
 });
 
 void test('a line tells what was given to the versions and what was seen of them', () => {
   const rollout = createRollout(2, 10);
-  rollout.evidence.note('route/', true, true, {expectedMs: 0});
+  rollout.evidence.recordEnded('route/', true, true, {expectedMs: 0});
   logRolloutCounts(log, rollout);
   const line = JSON.parse(lines.at(-1)!) as Record<string, unknown>;
   assert.equal(line.event, 'rollout_counted');
--- a/packages/gateway/src/rollouts/rollout_evidence.test.ts
+++ b/packages/gateway/src/rollouts/rollout_evidence.test.ts
@@ -15,32 +15,32 @@
 
 beforeEach(() => {
   evidence = new RolloutEvidence();
-  for (let i = 0; i < 20; i++) evidence.note(CELL, false, false, USUAL);
+  for (let i = 0; i < 20; i++) evidence.recordEnded(CELL, false, false, USUAL);
 });
 
 void test('an answer that begins in time and goes on slowly is slow', () => {
-  evidence.note(CELL, true, false, {...USUAL, eventMs: 60});
-  evidence.note(CELL, true, false, {...USUAL, eventMs: 30});
+  evidence.recordEnded(CELL, true, false, {...USUAL, eventMs: 60});
+  evidence.recordEnded(CELL, true, false, {...USUAL, eventMs: 30});
   assert.equal(evidence.fresh.get(CELL)?.slow, 1);
 });
 
 void test('an answer with too few events to tell how fast they come is judged by its first one', () => {
-  evidence.note(CELL, true, false, {firstMs: 100, expectedMs: 45});
-  evidence.note(CELL, true, false, {firstMs: 200, expectedMs: 45});
+  evidence.recordEnded(CELL, true, false, {firstMs: 100, expectedMs: 45});
+  evidence.recordEnded(CELL, true, false, {firstMs: 200, expectedMs: 45});
   assert.equal(evidence.fresh.get(CELL)?.slow, 1);
 });
 
 void test('a long prompt may take longer, by as much as the old version takes for such a one', () => {
-  evidence.note(CELL, true, false, {firstMs: 800, expectedMs: 600});
-  evidence.note(CELL, true, false, {firstMs: 2_100, expectedMs: 600});
+  evidence.recordEnded(CELL, true, false, {firstMs: 800, expectedMs: 600});
+  evidence.recordEnded(CELL, true, false, {firstMs: 2_100, expectedMs: 600});
   assert.equal(evidence.fresh.get(CELL)?.slow, 1);
 });
 
 void test('a delay that a caller hardly notices is not slow, however much longer than usual', () => {
   for (let i = 0; i < 20; i++)
-    evidence.note('quick', false, false, {firstMs: 5, expectedMs: 0});
-  evidence.note('quick', true, false, {firstMs: 40, expectedMs: 0});
-  evidence.note('quick', true, false, {firstMs: 90, expectedMs: 0});
+    evidence.recordEnded('quick', false, false, {firstMs: 5, expectedMs: 0});
+  evidence.recordEnded('quick', true, false, {firstMs: 40, expectedMs: 0});
+  evidence.recordEnded('quick', true, false, {firstMs: 90, expectedMs: 0});
   assert.equal(evidence.fresh.get('quick')?.slow, 1);
 });
 
@@ -52,28 +52,28 @@
     expectedMs: 45,
     waitedMs: () => waitedMs,
   };
-  const end = evidence.watch(attempt);
+  const end = evidence.trackAttempt(attempt);
   waitedMs = 100;
-  assert.deepEqual([...evidence.overdue(true)], []);
+  assert.deepEqual([...evidence.countOverdue(true)], []);
   waitedMs = 200;
-  assert.deepEqual([...evidence.overdue(true)], [[CELL, 1]]);
-  assert.deepEqual([...evidence.overdue(false)], []);
+  assert.deepEqual([...evidence.countOverdue(true)], [[CELL, 1]]);
+  assert.deepEqual([...evidence.countOverdue(false)], []);
   waitedMs = undefined;
-  assert.deepEqual([...evidence.overdue(true)], []);
+  assert.deepEqual([...evidence.countOverdue(true)], []);
   waitedMs = 200;
   end();
-  assert.deepEqual([...evidence.overdue(true)], []);
+  assert.deepEqual([...evidence.countOverdue(true)], []);
 });
 
 void test('an answer that a time limit or its caller ended is slow if it was overdue, and else tells nothing', () => {
-  evidence.noteUnanswered(CELL, true, {firstMs: 100, expectedMs: 45});
+  evidence.recordUnanswered(CELL, true, {firstMs: 100, expectedMs: 45});
   assert.equal(evidence.fresh.get(CELL), undefined);
-  evidence.noteUnanswered(CELL, true, {firstMs: 8_000, expectedMs: 45});
+  evidence.recordUnanswered(CELL, true, {firstMs: 8_000, expectedMs: 45});
   assert.deepEqual(evidence.fresh.get(CELL), {ended: 1, failed: 0, slow: 1});
 });
 
 void test('nothing is slow while the times of the old version are not known', () => {
-  evidence.note('other', true, false, {
+  evidence.recordEnded('other', true, false, {
     firstMs: 9_000,
     eventMs: 900,
     expectedMs: 0,
--- a/packages/gateway/src/rollouts/rollout_judgement.test.ts
+++ b/packages/gateway/src/rollouts/rollout_judgement.test.ts
@@ -21,7 +21,7 @@
   });
   const note = (isFresh: boolean, ended: number, failed: number) => {
     for (let i = 0; i < ended; i++)
-      rollout.evidence.note(CELL, isFresh, i < failed, TIMES);
+      rollout.evidence.recordEnded(CELL, isFresh, i < failed, TIMES);
   };
   const goOn = () => {
     clock.advance(500);
--- a/packages/gateway/src/rollouts/rollout_book.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -14,9 +14,9 @@
 import type {TopicMirror} from '../records/topic_mirror.js';
 import type {RolloutDigest} from './rollout_digest.js';
 import {Rollout} from './rollout.js';
-import type {RolloutStarts} from './rollout_starts.js';
+import type {RolloutStartRecords} from './rollout_start_records.js';
 import {VersionReason} from './version_reason.js';
-import type {VersionWish} from './version_wish.js';
+import type {VersionPreference} from './version_preference.js';
 
 interface Options {
   readonly clock: Clock;
@@ -26,18 +26,18 @@
   readonly reader: WireReader;
   readonly sessions: SessionVersions;
   /** Whether this host heard of the store a short time ago, itself or through others. */
-  readonly isInTouch: () => boolean;
+  readonly isConnected: () => boolean;
   readonly refusals: Refusals;
   /** What hosts noted in the store when an order was first seen. */
-  readonly starts: RolloutStarts;
+  readonly startRecords: RolloutStartRecords;
   /** How much of a service's calls a new version may get until the limit of its roll-out. */
   readonly exposureBounds?: () => ExposureBounds;
   /** Hosts that live, this one included. */
-  readonly hosts?: () => number;
+  readonly hostCount?: () => number;
 }
 
 /** A call that needs a version. */
-interface Wisher {
+interface VersionQuery {
   readonly service: string;
   /** Names the call; decides where it has no session. */
   readonly key: string;
@@ -45,33 +45,33 @@
   /** The versions that answered earlier attempts with a failure, one for each such answer. */
   readonly failedVersions: readonly string[];
   /** Whether a version has a runner that the call was not sent to yet. */
-  readonly hasUntried: (version: string) => boolean;
+  readonly hasUntriedRunner: (version: string) => boolean;
 }
 
 /** What decides on the version of a call. */
-type VersionQuestion = Omit<Wisher, 'service'> &
-  Pick<VersionWish, 'remembered'>;
+type VersionCriteria = Omit<VersionQuery, 'service'> &
+  Pick<VersionPreference, 'remembered'>;
 
 /** Reasons for which a call gets the new version; for all others it gets the old one. */
 const NEW_VERSION_REASONS: ReadonlySet<VersionReason> = new Set([
-  VersionReason.WHOLE,
-  VersionReason.SESSION_NEW,
+  VersionReason.ALL_CALLS,
+  VersionReason.SESSION_ON_NEW,
   VersionReason.IN_SHARE,
 ]);
 
 /** The roll-outs that are ordered, and which version each call gets. */
-export class RolloutBook {
+export class RolloutRegistry {
   private readonly rollouts = new Map<string, Rollout>();
   /** Whether this host had a copy of the orders before the newest one came. */
-  private hadOrders = false;
+  private hasLoadedOrders = false;
 
   constructor(private readonly options: Options) {
     options.orders.onUpdate(({changed, isReload}) => {
-      changed.forEach(record => this.order(record, isReload));
-      this.hadOrders = true;
+      changed.forEach(record => this.applyOrder(record, isReload));
+      this.hasLoadedOrders = true;
     });
     options.states.onUpdate(({changed}) => changed.forEach(r => this.state(r)));
-    options.starts.onNoted(() => this.takeNotes());
+    options.startRecords.onChange(() => this.applyStartRecords());
   }
 
   /** The newest roll-out of a service. */
@@ -92,11 +92,11 @@
   }
 
   /** What the store says of a roll-out, as this host knows it. */
-  stateOf(rollout: Rollout): RolloutState | undefined {
+  findState(rollout: Rollout): RolloutState | undefined {
     return this.options.states
       .live()
       .map(record => this.readState(record))
-      .find(state => state !== undefined && isAbout(state, rollout));
+      .find(state => state !== undefined && isStateFor(state, rollout));
   }
 
   /**
@@ -104,66 +104,66 @@
    * order, so that hosts agree whichever of them a session reaches. What a host remembers of sessions only
    * keeps on the new version those that it put there.
    */
-  wishFor({service, ...call}: Wisher): VersionWish {
-    const remembered = this.rememberedOf(call.session);
+  getVersionPreference({service, ...call}: VersionQuery): VersionPreference {
+    const remembered = this.getRememberedVersion(call.session);
     const rollout = this.rollouts.get(service);
-    if (!rollout) return {reason: VersionReason.NONE, remembered};
+    if (!rollout) return {reason: VersionReason.NO_ROLLOUT, remembered};
     const {version} = rollout.order;
-    const reason = this.reasonFor(rollout, {...call, remembered});
+    const reason = this.chooseReason(rollout, {...call, remembered});
     const isNew = NEW_VERSION_REASONS.has(reason);
-    const wish = isNew ? {only: version} : {not: version};
+    const wish = isNew ? {preferred: version} : {avoided: version};
     return {...wish, reason, remembered};
   }
 
   /** Takes over what other hosts told, summed over them. */
-  noteRemote(digests: Readonly<Record<string, RolloutDigest>>): void {
+  applyRemoteDigests(digests: Readonly<Record<string, RolloutDigest>>): void {
     for (const [service, digest] of Object.entries(digests)) {
       const rollout = this.rollouts.get(service);
       if (!rollout || rollout.order.offset !== digest.offset) continue;
-      rollout.noteRemote(digest);
+      rollout.applyRemoteDigest(digest);
     }
   }
 
-  private rememberedOf(session: string | undefined): string | undefined {
+  private getRememberedVersion(session: string | undefined): string | undefined {
     if (session === undefined) return undefined;
     return this.options.sessions.get(session);
   }
 
-  private reasonFor(
+  private chooseReason(
     rollout: Rollout,
-    question: VersionQuestion,
+    question: VersionCriteria,
   ): VersionReason {
     const {key, session, remembered} = question;
     const {phase} = rollout;
     const {version, offset} = rollout.order;
-    if (rollout.isTakenBack) return VersionReason.TAKEN_BACK;
-    if (phase === RolloutPhase.COMPLETE) return VersionReason.WHOLE;
-    if (leavesNewVersion(rollout, question)) return VersionReason.FAILED_THERE;
-    if (remembered === version) return VersionReason.SESSION_NEW;
-    if (!this.options.isInTouch()) return outOfTouch(rollout);
+    if (rollout.isRolledBack) return VersionReason.ROLLED_BACK;
+    if (phase === RolloutPhase.COMPLETE) return VersionReason.ALL_CALLS;
+    if (shouldLeaveNewVersion(rollout, question)) return VersionReason.FAILED_ON_NEW;
+    if (remembered === version) return VersionReason.SESSION_ON_NEW;
+    if (!this.options.isConnected()) return chooseDisconnectedReason(rollout);
     const share = rollout.shareOf({hasSession: session !== undefined});
     const isInShare = hashToFraction(`${offset}|${session ?? key}`) < share;
     if (!isInShare) return VersionReason.OUTSIDE_SHARE;
-    if (session === undefined && !rollout.hasRoom) return VersionReason.NO_ROOM;
-    return share === 1 ? VersionReason.WHOLE : VersionReason.IN_SHARE;
+    if (session === undefined && !rollout.isUnderExposureLimit) return VersionReason.OVER_EXPOSURE_LIMIT;
+    return share === 1 ? VersionReason.ALL_CALLS : VersionReason.IN_SHARE;
   }
 
-  private order(record: KeyedRecord, isReload: boolean): void {
-    const {reader, starts, states} = this.options;
-    const order = this.read(Topic.OPERATOR, record, () =>
+  private applyOrder(record: KeyedRecord, isReload: boolean): void {
+    const {reader, startRecords: starts, states} = this.options;
+    const order = this.tryRead(Topic.OPERATOR, record, () =>
       reader.readOrder(record),
     );
     if (!order) return;
     const known = this.rollouts.get(order.service);
     if (known && known.order.offset >= order.offset) return;
     // An order that was not in the copy before is new: a time of day could only mislead.
-    const elapsedMs = this.hadOrders ? 0 : starts.elapsedMs(order);
+    const elapsedMs = this.hasLoadedOrders ? 0 : starts.estimateElapsedMs(order);
     const statesFrom = this.statesFrom(order, known, isReload);
     const rollout = new Rollout({
       ...this.options,
       order,
       elapsedMs,
-      isSeen: this.hadOrders,
+      isSeen: this.hasLoadedOrders,
       statesFrom,
       exposureBounds: this.options.exposureBounds?.(),
     });
@@ -178,29 +178,29 @@
     last: Rollout | undefined,
     isReload: boolean,
   ): number {
-    const {starts, states} = this.options;
+    const {startRecords: starts, states} = this.options;
     // What stands there when the order arrives is about an earlier one; at the start of this host the
     // order may be old, and only a note tells.
     const seenBefore = isReload ? 0 : states.next;
     return Math.max(
       starts.statesFrom(order) ?? seenBefore,
       // This host may have written the end of the last one, and not read it yet.
-      last?.endedAt ?? 0,
+      last?.offsetAfterEnd ?? 0,
     );
   }
 
   /** Notes may come later than the orders and states that they explain. */
-  private takeNotes(): void {
+  private applyStartRecords(): void {
     for (const rollout of this.rollouts.values()) {
       const {order, phase} = rollout;
       // Only a host that did not see the order arrive, and was not told by one that did, goes by the note.
-      const elapsedMs = this.options.starts.elapsedMs(order);
-      rollout.guessElapsed(elapsedMs);
-      const statesFrom = this.options.starts.statesFrom(order);
+      const elapsedMs = this.options.startRecords.estimateElapsedMs(order);
+      rollout.applyWallClockElapsed(elapsedMs);
+      const statesFrom = this.options.startRecords.statesFrom(order);
       if (statesFrom === undefined || statesFrom <= rollout.statesFrom)
         continue;
       rollout.statesFrom = statesFrom;
-      if (phase === RolloutPhase.ACTIVE || this.stateOf(rollout)) continue;
+      if (phase === RolloutPhase.ACTIVE || this.findState(rollout)) continue;
       rollout.phase = RolloutPhase.ACTIVE;
       this.logPhase(rollout);
     }
@@ -210,10 +210,10 @@
     const state = this.readState(record);
     if (!state) return;
     const rollout = this.rollouts.get(state.service);
-    if (!rollout || !isAbout(state, rollout)) return;
+    if (!rollout || !isStateFor(state, rollout)) return;
     if (rollout.phase !== RolloutPhase.ACTIVE) return;
     if (state.phase === RolloutPhase.ACTIVE) return;
-    rollout.end(state.phase, state.offset);
+    rollout.markEnded(state.phase, state.offset);
     this.logPhase(rollout);
   }
 
@@ -235,10 +235,10 @@
 
   private readState(record: KeyedRecord): RolloutState | undefined {
     const {reader} = this.options;
-    return this.read(Topic.STATUS, record, () => reader.readState(record));
+    return this.tryRead(Topic.STATUS, record, () => reader.readState(record));
   }
 
-  private read<T>(
+  private tryRead<T>(
     topic: Topic,
     record: KeyedRecord,
     action: () => T,
@@ -257,9 +257,9 @@
  * failure can be its runner's alone: the session would see the two versions by turns. Of 200 sessions, three
  * that one of two sound runners of a good version failed went back to the old version before, none do now.
  */
-function leavesNewVersion(
+function shouldLeaveNewVersion(
   rollout: Rollout,
-  {session, failedVersions, hasUntried}: VersionQuestion,
+  {session, failedVersions, hasUntriedRunner: hasUntried}: VersionCriteria,
 ): boolean {
   const {version} = rollout.order;
   const failures = failedVersions.filter(failed => failed === version).length;
@@ -269,13 +269,13 @@
 }
 
 /** A host that hears nothing takes a roll-out whose time is over for complete: the old runners are gone by then. */
-function outOfTouch({elapsedMs, order}: Rollout): VersionReason {
+function chooseDisconnectedReason({elapsedMs, order}: Rollout): VersionReason {
   const isOver = elapsedMs >= order.durationMs;
-  return isOver ? VersionReason.WHOLE : VersionReason.OUT_OF_TOUCH;
+  return isOver ? VersionReason.ALL_CALLS : VersionReason.HOST_DISCONNECTED;
 }
 
 /** States of an earlier roll-out to the same version stand before the note of this one's start. */
-function isAbout(state: RolloutState, rollout: Rollout): boolean {
+function isStateFor(state: RolloutState, rollout: Rollout): boolean {
   const {order, statesFrom} = rollout;
   // Versions of different services bear the same names.
   if (state.service !== order.service) return false;
--- a/packages/gateway/src/rollouts/version_rates.ts
+++ b/packages/gateway/src/rollouts/version_rates.ts
@@ -7,12 +7,12 @@
 }
 
 /** Attempts at the new version and at the others since the order. */
-interface Sent {
+interface AttemptCounts {
   readonly fresh: number;
   readonly old: number;
 }
 
-type Counts = Pick<
+type CountsWithRates = Pick<
   RolloutProgress,
   'sentAll' | 'sentFresh' | 'callsPerMs' | 'freshPerMs'
 >;
@@ -28,13 +28,13 @@
   }
 
   /** Takes the counts as they are now, and gives them with their rates. */
-  take({fresh, old}: Sent, elapsedMs: number): Counts {
+  update({fresh, old}: AttemptCounts, elapsedMs: number): CountsWithRates {
     const sentAll = fresh + old;
     return {
       sentAll,
       sentFresh: fresh,
-      callsPerMs: this.all.perMs(sentAll, elapsedMs),
-      freshPerMs: this.fresh.perMs(fresh, elapsedMs),
+      callsPerMs: this.all.measurePerMs(sentAll, elapsedMs),
+      freshPerMs: this.fresh.measurePerMs(fresh, elapsedMs),
     };
   }
 }
--- a/packages/gateway/src/rollouts/version_reason.ts
+++ b/packages/gateway/src/rollouts/version_reason.ts
@@ -1,15 +1,15 @@
 /** Why a call gets the version that it gets while a service has a roll-out. */
 const VersionReason = {
-  NONE: 'no roll-out',
-  BEGUN: 'answer begun by this version',
-  OUT_OF_REACH: 'version of the answer is out of reach',
-  TAKEN_BACK: 'new version taken back',
-  WHOLE: 'all calls',
-  FAILED_THERE: 'failed on the new version',
-  SESSION_NEW: 'session runs on the new version',
-  OUT_OF_TOUCH: 'host out of touch',
+  NO_ROLLOUT: 'no roll-out',
+  ANSWER_BEGUN: 'answer begun by this version',
+  ANSWER_VERSION_UNREACHABLE: 'version of the answer is out of reach',
+  ROLLED_BACK: 'new version taken back',
+  ALL_CALLS: 'all calls',
+  FAILED_ON_NEW: 'failed on the new version',
+  SESSION_ON_NEW: 'session runs on the new version',
+  HOST_DISCONNECTED: 'host out of touch',
   IN_SHARE: 'in the share',
-  NO_ROOM: 'in the share, but over what is allowed by now',
+  OVER_EXPOSURE_LIMIT: 'in the share, but over what is allowed by now',
   OUTSIDE_SHARE: 'outside the share',
 } as const;
 type VersionReason = (typeof VersionReason)[keyof typeof VersionReason];
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_world.ts
@@ -5,7 +5,7 @@
 import {Topic} from '../records/topic.js';
 import type {Rollout} from '../rollouts/rollout.js';
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
-import {mergeRollouts} from '../rollouts/merge_rollouts.js';
+import {mergeRolloutDigests} from '../rollouts/merge_rollout_digests.js';
 import {MemoryRecordStore} from './memory_record_store.js';
 import {RolloutWorldHost} from './rollout_world_host.js';
 import {SoundVersion} from './sound_version.js';
@@ -182,7 +182,7 @@
         .filter((digest, i) => i !== index && digest)
         .map(digest => digest!);
       if (host.isCutOff || others.length === 0) return;
-      host.book.noteRemote({[SERVICE]: others.reduce(mergeRollouts)});
+      host.book.applyRemoteDigests({[SERVICE]: others.reduce(mergeRolloutDigests)});
     });
   }
 
@@ -224,12 +224,12 @@
   private send(index: number, call: Call): void {
     const host = this.hosts[index];
     const {id, route, session, failedVersions} = call;
-    const {only} = host.book.wishFor({
+    const {preferred: only} = host.book.getVersionPreference({
       service: SERVICE,
       key: id,
       session,
       failedVersions,
-      hasUntried: () => true,
+      hasUntriedRunner: () => true,
     });
     const version = only ?? OLD;
     this.count(index, version, session);
@@ -272,14 +272,14 @@
     const model = isFresh ? this.options.version : this.old;
     const host = this.hosts[index];
     const {rollout} = host;
-    const runner = this.choose(isFresh, rollout?.isWatched ?? false);
+    const runner = this.choose(isFresh, rollout?.isCanary ?? false);
     runner.totalRunning += 1;
     if (!isFresh) host.oldRunning += 1;
     const {elapsedMs, random} = this;
     const running = runner.totalRunning;
     const answer = model.answer({route, running, elapsedMs, random});
     const isActive = rollout?.phase === RolloutPhase.ACTIVE;
-    if (isActive) rollout.evidence.noteSent(isFresh);
+    if (isActive) rollout.evidence.recordSent(isFresh);
     const forMs = Math.min(answer.forMs, CALLER_PATIENCE_MS);
     const {firstMs, events} = answer;
     const endWatch = this.watch(rollout, route, isFresh, firstMs);
@@ -290,7 +290,7 @@
       const isEnded = answer.forMs > CALLER_PATIENCE_MS;
       const eventMs = computeEventIntervalMs(forMs, firstMs, events);
       if (isActive && !isEnded)
-        rollout.evidence.note(route, isFresh, answer.hasFailed, {
+        rollout.evidence.recordEnded(route, isFresh, answer.hasFailed, {
           firstMs,
           eventMs,
           expectedMs: 0,
@@ -313,7 +313,7 @@
       return waited < firstMs ? waited : undefined;
     };
     const attempt = {cellName, isFresh, waitedMs, expectedMs: 0};
-    return rollout?.evidence.watch(attempt) ?? (() => undefined);
+    return rollout?.evidence.trackAttempt(attempt) ?? (() => undefined);
   }
 
   /** The runner with the fewest calls, of those among which a call may choose. */
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/rollout_world_host.ts
@@ -6,10 +6,10 @@
 import {Topic} from '../records/topic.js';
 import {TopicMirror} from '../records/topic_mirror.js';
 import type {Rollout} from '../rollouts/rollout.js';
-import {RolloutBook} from '../rollouts/rollout_book.js';
+import {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
-import {RolloutStarts} from '../rollouts/rollout_starts.js';
-import {RolloutWriter} from '../rollouts/rollout_writer.js';
+import {RolloutStartRecords} from '../rollouts/rollout_start_records.js';
+import {RolloutController} from '../rollouts/rollout_controller.js';
 import type {MemoryRecordStore} from './memory_record_store.js';
 import {PlainReader} from './plain_reader.js';
 
@@ -29,7 +29,7 @@
 
 /** One host of a simulated fleet: what it knows of roll-outs, and what it writes of them. */
 export class RolloutWorldHost {
-  readonly book: RolloutBook;
+  readonly book: RolloutRegistry;
   readonly sessions: SessionVersions;
   /** Calls of this host that run on the old version. */
   oldRunning = 0;
@@ -37,7 +37,7 @@
   isCutOff = false;
   /** Whether its process is gone; what it knew is lost then. */
   isGone = false;
-  private readonly writer: RolloutWriter;
+  private readonly writer: RolloutController;
   private readonly mirrors: readonly TopicMirror[];
   private readonly ownStore: MemoryRecordStore;
 
@@ -56,35 +56,35 @@
     this.ownStore = store.share();
     this.mirrors = [notes, states, orders];
     this.sessions = new SessionVersions({clock, retentionMs: SESSION_KEPT_MS});
-    const starts = new RolloutStarts({
+    const starts = new RolloutStartRecords({
       clock,
       refusals,
       store: this.ownStore,
       mirror: notes,
     });
-    this.book = new RolloutBook({
+    this.book = new RolloutRegistry({
       clock,
       log,
       reader,
       refusals,
       orders,
       states,
-      starts,
+      startRecords: starts,
       sessions: this.sessions,
-      isInTouch: () => !this.isCutOff,
-      hosts: () => options.living().length,
+      isConnected: () => !this.isCutOff,
+      hostCount: () => options.living().length,
     });
-    this.writer = new RolloutWriter({
+    this.writer = new RolloutController({
       clock,
       log,
       reader,
       states,
-      book: this.book,
+      rollouts: this.book,
       store: this.ownStore,
       host: name,
-      hosts: options.living,
+      liveHosts: options.living,
       oldRunning: () => this.oldRunning,
-      noteStart: rollout => starts.note(rollout),
+      recordStart: rollout => starts.save(rollout),
     });
   }
 
@@ -99,7 +99,7 @@
 
   /** What it tells the other hosts. */
   get digest(): RolloutDigest | undefined {
-    return this.rollout?.digest(this.oldRunning);
+    return this.rollout?.createDigest(this.oldRunning);
   }
 
   /** Follows the store from now on, and writes to it where that falls to this host. */
