--- a/packages/decisions/src/calls/compute_canary_share.ts
+++ b/packages/decisions/src/calls/compute_canary_share.ts
@@ -41,9 +41,13 @@
 }
 
 /** The share that it may have up to the limit without getting more than it may have while it is watched. */
-function computeSustainableShare(bounds: ExposureBounds, facts: RolloutProgress): number {
+function computeSustainableShare(
+  bounds: ExposureBounds,
+  facts: RolloutProgress,
+): number {
   const {callsPerMs, durationMs, elapsedMs, sentFresh} = facts;
-  const left = estimateFinalExposureLimit(bounds, facts) * CANARY_PART - sentFresh;
+  const left =
+    estimateFinalExposureLimit(bounds, facts) * CANARY_PART - sentFresh;
   const toCome = callsPerMs * Math.max(1, durationMs - elapsedMs);
   return Math.max(0, left) / toCome;
 }
--- a/packages/decisions/src/calls/compute_cold_runner_share.test.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.test.ts
@@ -13,7 +13,8 @@
 
 function sumOf(runner: string, hosts: readonly string[], bounds = limits) {
   return hosts.reduce(
-    (sum, host) => sum + computeColdRunnerShare({runner, host, hosts, limits: bounds}),
+    (sum, host) =>
+      sum + computeColdRunnerShare({runner, host, hosts, limits: bounds}),
     0,
   );
 }
--- a/packages/decisions/src/calls/compute_cold_runner_share.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.ts
@@ -18,7 +18,12 @@
 const WINDOW_MS = 1_000;
 
 /** How many calls a host may send to a cold runner within a second. */
-export function computeColdRunnerShare({runner, host, hosts, limits}: Options): number {
+export function computeColdRunnerShare({
+  runner,
+  host,
+  hosts,
+  limits,
+}: Options): number {
   return computeHostShare({
     calls: computeWindowQuota({...limits, windowMs: WINDOW_MS}),
     minUsefulCalls: MIN_USEFUL_CALLS,
--- a/packages/decisions/src/calls/compute_host_share.test.ts
+++ b/packages/decisions/src/calls/compute_host_share.test.ts
@@ -21,7 +21,12 @@
   leastCalls = 1,
 ): number {
   const rank = rankByHash('i-1', hosts).indexOf(host);
-  return computeHostShare({calls, minUsefulCalls: leastCalls, hosts: hosts.length, rank});
+  return computeHostShare({
+    calls,
+    minUsefulCalls: leastCalls,
+    hosts: hosts.length,
+    rank,
+  });
 }
 
 function sumOf(hosts: readonly string[], calls: number, leastCalls = 1) {
--- a/packages/decisions/src/calls/compute_host_share.ts
+++ b/packages/decisions/src/calls/compute_host_share.ts
@@ -14,7 +14,12 @@
  * the calls, without a message between them. Where hosts know different sets, each of which holds the one before, only
  * those that the smallest lacks add to that: a host's share never grows with the number of hosts.
  */
-export function computeHostShare({calls, minUsefulCalls: leastCalls, hosts, rank}: Options): number {
+export function computeHostShare({
+  calls,
+  minUsefulCalls: leastCalls,
+  hosts,
+  rank,
+}: Options): number {
   if (calls < 1 || rank < 0 || rank >= hosts) return 0;
   const size = Math.min(leastCalls, calls);
   const parts = Math.floor(calls / size);
--- a/packages/decisions/src/calls/compute_latest_completion_ms.ts
+++ b/packages/decisions/src/calls/compute_latest_completion_ms.ts
@@ -8,5 +8,8 @@
 
 /** Time after the order at which a roll-out that is not taken back is complete at the latest, in ms. */
 export function computeLatestCompletionMs(durationMs: number): number {
-  return durationMs - Math.min(COMPLETION_MARGIN_MS, durationMs * MAX_COMPLETION_MARGIN_PART);
+  return (
+    durationMs -
+    Math.min(COMPLETION_MARGIN_MS, durationMs * MAX_COMPLETION_MARGIN_PART)
+  );
 }
--- a/packages/decisions/src/calls/confidence_calibration.ts
+++ b/packages/decisions/src/calls/confidence_calibration.ts
@@ -40,9 +40,13 @@
     this.pairCount += 1;
     const gap = large - small;
     const before = gap - this.meanDifference;
-    this.meanDifference += before * Math.max(MIN_LEARNING_RATE, 1 / this.pairCount);
+    this.meanDifference +=
+      before * Math.max(MIN_LEARNING_RATE, 1 / this.pairCount);
     const scatter = before * (gap - this.meanDifference);
-    const weight = Math.max(MIN_LEARNING_RATE, 1 / (PRIOR_PAIRS + this.pairCount));
+    const weight = Math.max(
+      MIN_LEARNING_RATE,
+      1 / (PRIOR_PAIRS + this.pairCount),
+    );
     this.differenceVariance += weight * (scatter - this.differenceVariance);
   }
 }
--- a/packages/decisions/src/calls/estimate_final_exposure_limit.ts
+++ b/packages/decisions/src/calls/estimate_final_exposure_limit.ts
@@ -11,5 +11,9 @@
   {sentAll, callsPerMs, durationMs, elapsedMs, isSeen}: RolloutProgress,
 ): number {
   const toCome = callsPerMs * Math.max(0, durationMs - elapsedMs);
-  return computeExposureLimit(bounds, sentAll + toCome * EXPECTED_CALLS_PART, isSeen);
+  return computeExposureLimit(
+    bounds,
+    sentAll + toCome * EXPECTED_CALLS_PART,
+    isSeen,
+  );
 }
--- a/packages/decisions/src/calls/model_cascade.test.ts
+++ b/packages/decisions/src/calls/model_cascade.test.ts
@@ -62,7 +62,10 @@
     scale.recordPair(clip(30 + ease + noise()), clip(70 + ease + noise()));
   }
   // Even noise over 20 points has a standard deviation of 20 / sqrt(12).
-  assert.ok(Math.abs(scale.noiseDeviation - 5.8) < 1.5, `${scale.noiseDeviation}`);
+  assert.ok(
+    Math.abs(scale.noiseDeviation - 5.8) < 1.5,
+    `${scale.noiseDeviation}`,
+  );
   assert.ok(scale.probabilityGood(60) > before);
   assert.ok(scale.probabilityGood(40) < 0.2);
 });
--- a/packages/decisions/src/calls/model_cascade.ts
+++ b/packages/decisions/src/calls/model_cascade.ts
@@ -89,7 +89,9 @@
     const leftMs = latencyTargetMs - answer.elapsedMs;
     const quality = goodShare + (1 - goodShare) * POOR_ANSWER_WORTH;
     const worthNow = quality * (leftMs > 0 ? 1 : LATE_ANSWER_WORTH);
-    const ownWorth = estimatePromptWorth(this.relativePromptSize(route, answer.tokens));
+    const ownWorth = estimatePromptWorth(
+      this.relativePromptSize(route, answer.tokens),
+    );
     const worthLarge = estimateLargestModelWorth(answer.largest, {
       latencyTargetMs,
       remainingMs: leftMs,
@@ -116,7 +118,10 @@
 
 /** What an answer to a prompt is worth over that to a mean one, by its size over the mean. */
 function estimatePromptWorth(size: number): number {
-  return Math.min(MAX_PROMPT_WORTH, FIXED_PROMPT_WORTH + (1 - FIXED_PROMPT_WORTH) * size);
+  return Math.min(
+    MAX_PROMPT_WORTH,
+    FIXED_PROMPT_WORTH + (1 - FIXED_PROMPT_WORTH) * size,
+  );
 }
 
 /** The worth of the largest model's answer, less its price and what the others lose by its reading. */
--- a/packages/decisions/src/calls/outlier_detector.ts
+++ b/packages/decisions/src/calls/outlier_detector.ts
@@ -75,8 +75,12 @@
 
   private eject(): number {
     const now = this.options.clock.now();
-    if (now - this.ejectedUntil > CONSECUTIVE_WINDOW_MS) this.consecutiveEjections = 0;
-    const forMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** this.consecutiveEjections);
+    if (now - this.ejectedUntil > CONSECUTIVE_WINDOW_MS)
+      this.consecutiveEjections = 0;
+    const forMs = Math.min(
+      MAX_EJECTION_MS,
+      BASE_EJECTION_MS * 2 ** this.consecutiveEjections,
+    );
     this.consecutiveEjections += 1;
     this.ejectedUntil = now + forMs;
     this.successes = 0;
--- a/packages/decisions/src/calls/quarantine.test.ts
+++ b/packages/decisions/src/calls/quarantine.test.ts
@@ -35,7 +35,8 @@
 
 void test('one end counts once, however many copies of the request were there', () => {
   const quarantine = create();
-  for (let copy = 0; copy < 9; copy++) quarantine.recordCrashes(FATAL, [begun(1)]);
+  for (let copy = 0; copy < 9; copy++)
+    quarantine.recordCrashes(FATAL, [begun(1)]);
   assert.equal(quarantine.remainingMs(FATAL), 0);
 });
 
@@ -55,7 +56,9 @@
       for (const [from, to] of passes) hosts[to].mergeDigest(told(hosts[from]));
       // In the end each host has heard of all.
       for (let round = 0; round < HOSTS; round++)
-        hosts.forEach((host, i) => hosts[(i + 1) % HOSTS].mergeDigest(told(host)));
+        hosts.forEach((host, i) =>
+          hosts[(i + 1) % HOSTS].mergeDigest(told(host)),
+        );
       for (const request of ['a', 'b', 'c']) {
         const starts = ends.filter(one => one.request === request);
         const count = new Set(starts.map(({start}) => start)).size;
@@ -95,12 +98,20 @@
     quarantine.recordCrashes(FATAL, [doubtful(start)]);
   }
   review();
-  assert.deepEqual(quarantine.quarantinedFingerprints(), [], 'nobody knows which it is');
+  assert.deepEqual(
+    quarantine.quarantinedFingerprints(),
+    [],
+    'nobody knows which it is',
+  );
   quarantine.recordCrashes(FATAL, [doubtful(MANY)]);
   review();
   assert.deepEqual(quarantine.quarantinedFingerprints(), [FATAL]);
   for (let start = 0; start < 4; start++) review();
-  assert.deepEqual(quarantine.quarantinedFingerprints(), [FATAL], 'its ends are explained');
+  assert.deepEqual(
+    quarantine.quarantinedFingerprints(),
+    [FATAL],
+    'its ends are explained',
+  );
 });
 
 void test('doubtful ends are judged when all hosts had time to tell', () => {
@@ -121,7 +132,10 @@
     const quarantine = create();
     for (const request of order)
       quarantine.restoreRecord(request, ends[request].map(begun));
-    assert.deepEqual([...quarantine.quarantinedFingerprints()].sort(), ['a', 'b']);
+    assert.deepEqual([...quarantine.quarantinedFingerprints()].sort(), [
+      'a',
+      'b',
+    ]);
   }
 });
 
@@ -157,7 +171,8 @@
 void test('what is remembered and told is bounded, and what is held back goes before the rest', () => {
   const quarantine = create();
   quarantine.recordCrashes(FATAL, [begun(1), begun(2), begun(3)]);
-  for (let i = 0; i < 20_000; i++) quarantine.recordCrashes(`r${i}`, [begun(9)]);
+  for (let i = 0; i < 20_000; i++)
+    quarantine.recordCrashes(`r${i}`, [begun(9)]);
   assert.ok(quarantine.remainingMs(FATAL) > 0);
   assert.equal(quarantine.weightOf('r0'), 0, 'forgotten');
   assert.equal(quarantine.weightOf('r19999'), 1);
@@ -193,13 +208,21 @@
   end(3, FATAL, 'c');
   clock.advance(SETTLE_MS);
   quarantine.review();
-  assert.deepEqual(quarantine.quarantinedFingerprints(), [], 'it may only have been sent on');
+  assert.deepEqual(
+    quarantine.quarantinedFingerprints(),
+    [],
+    'it may only have been sent on',
+  );
   clock.advance(BACK_MS);
   end(4, FATAL, 'd');
   assert.deepEqual(quarantine.quarantinedFingerprints(), [FATAL]);
   const other = create(clock);
   other.mergeDigest(told(quarantine));
-  assert.deepEqual(other.quarantinedFingerprints(), [FATAL], 'told by the first one');
+  assert.deepEqual(
+    other.quarantinedFingerprints(),
+    [FATAL],
+    'told by the first one',
+  );
 });
 
 void test('requests that are sent on together when all runners end, and come again, are not held back', () => {
--- a/packages/decisions/src/calls/quarantine.ts
+++ b/packages/decisions/src/calls/quarantine.ts
@@ -8,7 +8,10 @@
 /** Told which requests are held back. */
 interface Listener {
   /** A request is held back from now on. */
-  readonly onQuarantined: (fingerprint: string, ends: readonly RunnerCrash[]) => void;
+  readonly onQuarantined: (
+    fingerprint: string,
+    ends: readonly RunnerCrash[],
+  ) => void;
   /** A request is held back no longer. */
   readonly onReleased: (fingerprint: string, reason: ReleaseReason) => void;
 }
@@ -189,13 +192,19 @@
 
   /** Ends of runs that were begun and gave nothing leave no doubt: nobody waits for further news of them. */
   private quarantineCertain(fingerprints: readonly string[]): void {
-    this.quarantineHeaviestFirst(this.findSuspects(fingerprints), CERTAIN_WEIGHT);
+    this.quarantineHeaviestFirst(
+      this.findSuspects(fingerprints),
+      CERTAIN_WEIGHT,
+    );
   }
 
   /** Requests that were at ends again after a pause are judged as the only cause of those that nothing else explains. */
   private quarantineRecurrent(fingerprints: readonly string[]): void {
     const suspects = this.findSuspects(fingerprints)
-      .filter(({quarantinedAt: heldAt, crashes: ends}) => heldAt === undefined && reachesThreshold(ends.length))
+      .filter(
+        ({quarantinedAt: heldAt, crashes: ends}) =>
+          heldAt === undefined && reachesThreshold(ends.length),
+      )
       .sort((a, b) => b.crashes.length - a.crashes.length);
     const now = this.options.clock.now();
     for (const suspect of suspects) {
@@ -245,7 +254,10 @@
     minWeight: number,
   ): void {
     const heaviestFirst = suspects
-      .filter(({quarantinedAt: heldAt, weight}) => heldAt === undefined && reachesThreshold(weight))
+      .filter(
+        ({quarantinedAt: heldAt, weight}) =>
+          heldAt === undefined && reachesThreshold(weight),
+      )
       .sort((a, b) => b.weight - a.weight);
     for (const suspect of heaviestFirst) {
       const explained = this.explainedCrashes();
@@ -268,13 +280,16 @@
   }
 
   private explainedCrashes(): Set<number> {
-    const starts = this.quarantinedSuspects().flatMap(({crashes: ends}) => ends);
+    const starts = this.quarantinedSuspects().flatMap(
+      ({crashes: ends}) => ends,
+    );
     return new Set(starts.map(({start}) => start));
   }
 
   /** The least lately changed stand first. */
   private touchSuspect(fingerprint: string): SuspectRequest {
-    const suspect = this.suspects.get(fingerprint) ?? new SuspectRequest(fingerprint);
+    const suspect =
+      this.suspects.get(fingerprint) ?? new SuspectRequest(fingerprint);
     this.suspects.delete(fingerprint);
     this.suspects.set(fingerprint, suspect);
     if (this.suspects.size > MAX_SUSPECTS) this.evictOldestSuspect();
--- a/packages/decisions/src/calls/reweigh_recurrent_crashes.ts
+++ b/packages/decisions/src/calls/reweigh_recurrent_crashes.ts
@@ -37,7 +37,10 @@
     });
 }
 
-function isOnlyCause({suspect, candidates: open}: Options, start: number): boolean {
+function isOnlyCause(
+  {suspect, candidates: open}: Options,
+  start: number,
+): boolean {
   return !open.some(
     other =>
       other !== suspect &&
--- a/packages/decisions/src/calls/rollout_exposure.test.ts
+++ b/packages/decisions/src/calls/rollout_exposure.test.ts
@@ -40,9 +40,14 @@
 void test('what a watched version may get rises with its good answers, not with time', () => {
   const early = facts({elapsedMs: 2_000, goodFresh: 0, sentFresh: 0});
   const late = facts({elapsedMs: 15_000, goodFresh: 0, sentFresh: 0});
-  assert.equal(computeCanaryLimit(BOUNDS, early), computeCanaryLimit(BOUNDS, late));
+  assert.equal(
+    computeCanaryLimit(BOUNDS, early),
+    computeCanaryLimit(BOUNDS, late),
+  );
   assert.ok(computeCanaryLimit(BOUNDS, late) < 15);
-  assert.ok(computeCanaryLimit(BOUNDS, facts()) > computeCanaryLimit(BOUNDS, late));
+  assert.ok(
+    computeCanaryLimit(BOUNDS, facts()) > computeCanaryLimit(BOUNDS, late),
+  );
 });
 
 void test('a watched version never gets more than a part of what a bad one may have, whatever is known', () => {
@@ -57,7 +62,8 @@
     fc.property(known, some => {
       const all = facts(some);
       assert.ok(
-        computeCanaryLimit(BOUNDS, all) <= computeExposureLimit(BOUNDS, all.sentAll, true),
+        computeCanaryLimit(BOUNDS, all) <=
+          computeExposureLimit(BOUNDS, all.sentAll, true),
       );
       const share = computeCanaryShare(BOUNDS, all);
       assert.ok(share > 0 && share <= 0.5, `share ${share}`);
@@ -78,7 +84,10 @@
   assert.equal(canShiftAllCalls(BOUNDS, {...last, isSuspect: true}), false);
   assert.equal(canShiftAllCalls(BOUNDS, {...last, goodFresh: 3}), false);
   const few = facts({elapsedMs: 15_500, callsPerMs: 0.002, sentAll: 32});
-  assert.equal(canShiftAllCalls(BOUNDS, {...few, sentFresh: 8, goodFresh: 8}), true);
+  assert.equal(
+    canShiftAllCalls(BOUNDS, {...few, sentFresh: 8, goodFresh: 8}),
+    true,
+  );
 });
 
 void test('what would come after the end of the roll-out counts before one more call is given', () => {
@@ -102,10 +111,16 @@
   });
   assert.ok(latest.elapsedMs < DURATION_MS);
   assert.equal(canCompleteRollout(BOUNDS, latest, 50), true);
-  assert.equal(canCompleteRollout(BOUNDS, {...latest, isSuspect: true}, 50), false);
+  assert.equal(
+    canCompleteRollout(BOUNDS, {...latest, isSuspect: true}, 50),
+    false,
+  );
   const surge = {...latest, callsPerMs: 0.4, sentFresh: 150};
   assert.equal(canCompleteRollout(BOUNDS, surge, 50), false);
-  assert.equal(canCompleteRollout(BOUNDS, {...surge, elapsedMs: 15_750}, 50), true);
+  assert.equal(
+    canCompleteRollout(BOUNDS, {...surge, elapsedMs: 15_750}, 50),
+    true,
+  );
 });
 
 void test('a roll-out is complete early only with nothing left on the old version and few calls to come', () => {
@@ -119,5 +134,8 @@
   assert.equal(canCompleteRollout(BOUNDS, {...few, sentFresh: 8}, 1), false);
   const watched = {...few, sentFresh: 8, isMovingAll: false};
   assert.equal(canCompleteRollout(BOUNDS, watched, 0), false);
-  assert.equal(canCompleteRollout(BOUNDS, facts({elapsedMs: 13_000}), 0), false);
+  assert.equal(
+    canCompleteRollout(BOUNDS, facts({elapsedMs: 13_000}), 0),
+    false,
+  );
 });
--- a/packages/decisions/src/calls/session_versions.ts
+++ b/packages/decisions/src/calls/session_versions.ts
@@ -27,7 +27,8 @@
     const pin = this.pins.get(session);
     if (!pin) return undefined;
     const {clock, retentionMs: keepMs} = this.options;
-    if (clock.now() - pin.lastAt <= keepMs * RETENTION_FACTOR) return pin.version;
+    if (clock.now() - pin.lastAt <= keepMs * RETENTION_FACTOR)
+      return pin.version;
     this.pins.delete(session);
     return undefined;
   }
--- a/packages/decisions/src/calls/shared_retry_budget.test.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.test.ts
@@ -37,7 +37,8 @@
   'all hosts start again, and know no other one at first': (world, random) => {
     for (let host = 0; host < HOSTS; host++) world.restartHost(host, 1);
     world.run(random.next() * 9_000);
-    for (let host = 0; host < HOSTS; host++) world.setBelievedHosts(host, HOSTS);
+    for (let host = 0; host < HOSTS; host++)
+      world.setBelievedHosts(host, HOSTS);
     world.run(12_000);
   },
   'places are cut off from each other': (world, random) => {
@@ -167,7 +168,10 @@
       clock.advance(1_000);
       budget.recordCall();
       if (call % 3 > 0) continue;
-      assert.ok(budget.reserve({hasPartialAnswer: false})?.spend(), `call ${call}`);
+      assert.ok(
+        budget.reserve({hasPartialAnswer: false})?.spend(),
+        `call ${call}`,
+      );
     }
   });
 
--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -66,8 +66,16 @@
   constructor(private readonly options: Options) {
     const {clock, windowMs} = options;
     const sliceMs = windowMs / BUCKETS;
-    this.calls = new BucketedCounter({clock, bucketMs: sliceMs, bucketCount: BUCKETS + HALF_WINDOW_BUCKETS});
-    this.retries = new BucketedCounter({clock, bucketMs: sliceMs, bucketCount: BUCKETS + 1});
+    this.calls = new BucketedCounter({
+      clock,
+      bucketMs: sliceMs,
+      bucketCount: BUCKETS + HALF_WINDOW_BUCKETS,
+    });
+    this.retries = new BucketedCounter({
+      clock,
+      bucketMs: sliceMs,
+      bucketCount: BUCKETS + 1,
+    });
   }
 
   /** Notes a call taken from a caller. */
@@ -100,7 +108,10 @@
   get remaining(): number {
     const share = this.hostShareOf(SHARED_ALLOWANCE_PART);
     const room = this.isInFirstWindow
-      ? Math.max(this.earnedRetries + Math.min(STARTUP_MAX.ALLOWANCE, share), this.startupAllowance)
+      ? Math.max(
+          this.earnedRetries + Math.min(STARTUP_MAX.ALLOWANCE, share),
+          this.startupAllowance,
+        )
       : this.earnedRetries + share;
     return room - this.reserved;
   }
@@ -117,14 +128,19 @@
 
   private get partialAnswerAllowance(): number {
     const share = this.hostShareOf(PARTIAL_ANSWER_ALLOWANCE_PART);
-    return this.isInFirstWindow ? Math.min(STARTUP_MAX.PARTIAL_ANSWER_ALLOWANCE, share) : share;
+    return this.isInFirstWindow
+      ? Math.min(STARTUP_MAX.PARTIAL_ANSWER_ALLOWANCE, share)
+      : share;
   }
 
   /** What the first calls of a host that has just started may use, before they have earned it. */
   private get startupAllowance(): number {
     const {calls: firsts, retries: repeats} = this.windowCounts;
     if (firsts === 0) return 0;
-    return Math.min(STARTUP_RETRIES, this.hostShareOf(SHARED_ALLOWANCE_PART)) - repeats;
+    return (
+      Math.min(STARTUP_RETRIES, this.hostShareOf(SHARED_ALLOWANCE_PART)) -
+      repeats
+    );
   }
 
   private get isInFirstWindow(): boolean {
@@ -152,7 +168,8 @@
       repeated += repeats[begin];
       if (begin > 0) within += firsts[begin - 1];
       earlier += firsts[begin + HALF_WINDOW_BUCKETS - 1];
-      if (begin >= HALF_WINDOW_BUCKETS) earlier -= firsts[begin - HALF_WINDOW_BUCKETS];
+      if (begin >= HALF_WINDOW_BUCKETS)
+        earlier -= firsts[begin - HALF_WINDOW_BUCKETS];
       const paying = within + (earlier - within) * EARLIER_CALLS_PART;
       const left = paying * perFirst - repeated;
       if (left < least) least = left;
--- a/packages/decisions/src/calls/sliding_window_counter.ts
+++ b/packages/decisions/src/calls/sliding_window_counter.ts
@@ -15,7 +15,11 @@
 
   constructor({clock, windowMs}: Options) {
     const sliceMs = windowMs / BUCKETS;
-    this.buckets = new BucketedCounter({clock, bucketMs: sliceMs, bucketCount: BUCKETS});
+    this.buckets = new BucketedCounter({
+      clock,
+      bucketMs: sliceMs,
+      bucketCount: BUCKETS,
+    });
   }
 
   /** Counts something that happened now. */
--- a/packages/decisions/src/calls/suspect_request.ts
+++ b/packages/decisions/src/calls/suspect_request.ts
@@ -21,7 +21,9 @@
 
   /** The ends that count. */
   get crashes(): readonly RecordedCrash[] {
-    return [...this.recorded.values()].filter(({start}) => !this.discounted.has(start));
+    return [...this.recorded.values()].filter(
+      ({start}) => !this.discounted.has(start),
+    );
   }
 
   /** How much its ends speak against it together. */
@@ -40,7 +42,9 @@
    * @param pauseMs the pause, in ms
    */
   countEpisodes(pauseMs: number): number {
-    const times = this.crashes.map(({notedAt}) => notedAt).sort((a, b) => a - b);
+    const times = this.crashes
+      .map(({notedAt}) => notedAt)
+      .sort((a, b) => a - b);
     return times.filter((at, i) => i === 0 || at - times[i - 1] >= pauseMs)
       .length;
   }
@@ -57,7 +61,8 @@
     if (known && known.weight >= weight) return;
     this.recorded.set(start, {start, weight, notedAt: known?.notedAt ?? now});
     this.changedAt = now;
-    if (this.recorded.size > MAX_CRASHES) this.forget([...this.recorded.keys()][0]);
+    if (this.recorded.size > MAX_CRASHES)
+      this.forget([...this.recorded.keys()][0]);
   }
 
   /**
--- a/packages/decisions/src/calls/testing/retry_simulation.ts
+++ b/packages/decisions/src/calls/testing/retry_simulation.ts
@@ -137,7 +137,11 @@
   }
 
   /** Does something at a host after a delay, once it does not stand still; not if it was started again meanwhile. */
-  private scheduleAtHost(host: HostRun, delayMs: number, action: () => void): void {
+  private scheduleAtHost(
+    host: HostRun,
+    delayMs: number,
+    action: () => void,
+  ): void {
     this.clock.after(delayMs, () => {
       if (!this.hosts.includes(host)) return;
       const frozenMs = host.pausedUntil - this.clock.now();
--- a/packages/decisions/src/calls/weigh_runner_crash.ts
+++ b/packages/decisions/src/calls/weigh_runner_crash.ts
@@ -28,8 +28,15 @@
  * had given nothing at 11 of 13, the others at one at most, while another one waited at five.
  */
 export function weighRunnerCrash(run: InterruptedAttempt): number {
-  const {isStreamed, hasHead, hasBodyBytes: hasPieces, sinceHeadMs, isAlone} = run;
-  if (!isStreamed) return hasHead ? 0 : isAlone ? CERTAIN_WEIGHT : UNCERTAIN_WEIGHT;
+  const {
+    isStreamed,
+    hasHead,
+    hasBodyBytes: hasPieces,
+    sinceHeadMs,
+    isAlone,
+  } = run;
+  if (!isStreamed)
+    return hasHead ? 0 : isAlone ? CERTAIN_WEIGHT : UNCERTAIN_WEIGHT;
   if (!hasHead) return 0;
   if (!hasPieces) return CERTAIN_WEIGHT;
   return sinceHeadMs < EARLY_CRASH_MS ? UNCERTAIN_WEIGHT : 0;
--- a/packages/gateway/src/calls/attempt.test.ts
+++ b/packages/gateway/src/calls/attempt.test.ts
@@ -107,7 +107,10 @@
 
 void test('an unsent attempt counts neither as run nor as sent', () => {
   const progress = new CallProgress({call: makeCall()});
-  progress.recordOutcome(makeRunner(), {kind: OutcomeKind.UNSENT, reason: 'left'});
+  progress.recordOutcome(makeRunner(), {
+    kind: OutcomeKind.UNSENT,
+    reason: 'left',
+  });
   assert.equal(progress.mayHaveRun, false);
   assert.equal(progress.sentCount, 0);
 });
--- a/packages/gateway/src/calls/attempt.ts
+++ b/packages/gateway/src/calls/attempt.ts
@@ -127,7 +127,14 @@
   }
 
   private async exchange(): Promise<AttemptOutcome> {
-    const {call, choice, clock, model, caller, headerBuilder: runnerHeaders} = this.options;
+    const {
+      call,
+      choice,
+      clock,
+      model,
+      caller,
+      headerBuilder: runnerHeaders,
+    } = this.options;
     const {runner} = choice;
     const connection = await this.connect();
     if (!connection) return this.toUnsentOutcome();
@@ -160,7 +167,10 @@
   }
 
   /** Whether it is the runner that was meant which answers this request. */
-  private isFromIntendedRunner({statusCode, headers}: IncomingMessage): boolean {
+  private isFromIntendedRunner({
+    statusCode,
+    headers,
+  }: IncomingMessage): boolean {
     const {headerNames: names, call} = this.options;
     const id = headers[names.requestId] ?? call.id;
     return statusCode !== MISDIRECTED && id === call.id;
@@ -239,12 +249,20 @@
     answer: IncomingMessage,
     connection: PooledConnection,
   ): Promise<AttemptOutcome> | AttemptOutcome {
-    const {headerNames: names, acceptsConfidence: isGoodEnough, caller} = this.options;
+    const {
+      headerNames: names,
+      acceptsConfidence: isGoodEnough,
+      caller,
+    } = this.options;
     const text = answer.headers[names.confidence];
     const confidence = text === undefined ? undefined : Number(text);
     if (!caller.hasStarted && !isGoodEnough(confidence)) {
       connection.discard();
-      return {kind: OutcomeKind.LOW_CONFIDENCE, reason: 'low confidence', confidence};
+      return {
+        kind: OutcomeKind.LOW_CONFIDENCE,
+        reason: 'low confidence',
+        confidence,
+      };
     }
     return new EventRelay({
       response: answer,
@@ -280,14 +298,17 @@
     if (error instanceof ConnectFailure)
       return {kind: OutcomeKind.NOT_RUN, reason: error.reason};
     const kind = this.failureKind();
-    if (this.abortController.signal.aborted) return {kind, reason: this.abortReason()};
+    if (this.abortController.signal.aborted)
+      return {kind, reason: this.abortReason()};
     const reason = error instanceof Error ? error.message : String(error);
     return {kind, reason, isTruncated: error instanceof ExchangeFailure};
   }
 
   /** A failure that this host caused by ending the call counts as its end. */
   private failureKind(): OutcomeKind {
-    return this.options.signal.aborted ? OutcomeKind.CALL_ENDED : OutcomeKind.BROKEN;
+    return this.options.signal.aborted
+      ? OutcomeKind.CALL_ENDED
+      : OutcomeKind.BROKEN;
   }
 
   private abortReason(): string {
--- a/packages/gateway/src/calls/attempt_recorder.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -55,7 +55,12 @@
     const expectedMs = expectedByPromptMs(progress, estimateLatencyMs(choice));
     rollout.evidence.recordSent(isFresh);
     if (!isLatencyComparable(progress, rollout)) return () => undefined;
-    return rollout.evidence.trackAttempt({cellName, isFresh, expectedMs, waitedMs});
+    return rollout.evidence.trackAttempt({
+      cellName,
+      isFresh,
+      expectedMs,
+      waitedMs,
+    });
   }
 
   /** Takes the outcome into what is believed of the runner and its version. */
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -81,7 +81,10 @@
     // An answer that has begun goes on: its caller holds a part of it.
     if (open.length === known.length || begunBy !== undefined) return open;
     const urgentFirst = urgentFirstOf(call.service);
-    const mayUse = urgentFirst.canAdmit(call.priority, gate.computeTotalRate(known));
+    const mayUse = urgentFirst.canAdmit(
+      call.priority,
+      gate.computeTotalRate(known),
+    );
     return mayUse ? open : [];
   }
 
@@ -110,11 +113,22 @@
     progress: CallProgress,
     takers: readonly Runner[],
   ): VersionPreference {
-    const {call, triedRunners: tried, startedByVersion: begunBy, failedVersions} = progress;
-    if (begunBy !== undefined && this.hasRunnerOfVersion(begunBy, call, takers)) {
+    const {
+      call,
+      triedRunners: tried,
+      startedByVersion: begunBy,
+      failedVersions,
+    } = progress;
+    if (
+      begunBy !== undefined &&
+      this.hasRunnerOfVersion(begunBy, call, takers)
+    ) {
       if (progress.unreachableCount < MAX_UNREACHABLE)
         return {preferred: begunBy, reason: VersionReason.ANSWER_BEGUN};
-      return {avoided: begunBy, reason: VersionReason.ANSWER_VERSION_UNREACHABLE};
+      return {
+        avoided: begunBy,
+        reason: VersionReason.ANSWER_VERSION_UNREACHABLE,
+      };
     }
     return this.options.rollouts.getVersionPreference({
       service: call.service,
--- a/packages/gateway/src/calls/buffered_response_reader.ts
+++ b/packages/gateway/src/calls/buffered_response_reader.ts
@@ -66,7 +66,12 @@
     const kind =
       status >= SERVER_ERROR ? OutcomeKind.RUNNER_ERROR : OutcomeKind.ANSWERED;
     const reason = `status ${status}`;
-    this.outcome.succeed({kind, reason, status, response: this.toBufferedResponse()});
+    this.outcome.succeed({
+      kind,
+      reason,
+      status,
+      response: this.toBufferedResponse(),
+    });
   }
 
   private toBufferedResponse(): BufferedResponse {
@@ -76,7 +81,10 @@
     return {
       status: this.status,
       statusText: answer.statusMessage ?? '',
-      headers: filterResponseHeaders(answer, isUnframed ? undefined : body.length),
+      headers: filterResponseHeaders(
+        answer,
+        isUnframed ? undefined : body.length,
+      ),
       body,
       isCloseDelimited: isUnframed,
     };
--- a/packages/gateway/src/calls/call_finisher.ts
+++ b/packages/gateway/src/calls/call_finisher.ts
@@ -33,7 +33,8 @@
   ): void {
     const {clock, log, metrics} = this.options;
     const {call} = progress;
-    if (outcome.response && !caller.isClosed) caller.sendBuffered(outcome.response);
+    if (outcome.response && !caller.isClosed)
+      caller.sendBuffered(outcome.response);
     const {name: route, kind} = call.route;
     const firstAt = caller.firstByteAt ?? clock.now();
     const forMs = clock.now() - call.acceptedAt;
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -78,7 +78,14 @@
 
   constructor(private readonly options: Options) {
     const {clock, random, log, metrics, directory, candidates} = options;
-    const {rollouts, sessions, rates, cascade, quarantine, retryBudgetOf: budgetOf} = options;
+    const {
+      rollouts,
+      sessions,
+      rates,
+      cascade,
+      quarantine,
+      retryBudgetOf: budgetOf,
+    } = options;
     const {gate} = options;
     this.attemptRecorder = new AttemptRecorder({
       log,
@@ -116,7 +123,12 @@
     caller: CallerResponse,
     signal: AbortSignal,
   ): Promise<void> {
-    const {cascade, retryBudgetOf: budgetOf, quarantine, priorityAdmissionOf: urgentFirstOf} = this.options;
+    const {
+      cascade,
+      retryBudgetOf: budgetOf,
+      quarantine,
+      priorityAdmissionOf: urgentFirstOf,
+    } = this.options;
     const {route, service} = call;
     const model =
       route.models.length > 0 ? cascade.chooseFirstModel(route) : call.model;
@@ -138,9 +150,18 @@
       progress.retryReservation = undefined;
       progress.recordOutcome(choice.runner, outcome);
       if (outcome.kind === OutcomeKind.ANSWERED)
-        return this.finisher.finishAnswered(progress, outcome, choice.runner, caller);
+        return this.finisher.finishAnswered(
+          progress,
+          outcome,
+          choice.runner,
+          caller,
+        );
       if (outcome.kind === OutcomeKind.CALL_ENDED || signal.aborted)
-        return this.finisher.finishUnanswered(progress, caller, String(signal.reason));
+        return this.finisher.finishUnanswered(
+          progress,
+          caller,
+          String(signal.reason),
+        );
       if (!this.retryPolicy.decideRetry(progress, outcome))
         return this.finisher.finishUnanswered(progress, caller, outcome.reason);
     }
@@ -165,9 +186,12 @@
     );
     const outcome = await attempt.run();
     endWatch();
-    if (caller.hasStarted) progress.startedByVersion ??= choice.runner.entry.version;
+    if (caller.hasStarted)
+      progress.startedByVersion ??= choice.runner.entry.version;
     const firstMs =
-      attempt.firstOutputAt === undefined ? undefined : attempt.firstOutputAt - startedAt;
+      attempt.firstOutputAt === undefined
+        ? undefined
+        : attempt.firstOutputAt - startedAt;
     const {wasSilent: wasQuiet} = attempt;
     const forMs = clock.now() - startedAt;
     const events = caller.eventCount - eventsBefore;
@@ -186,7 +210,8 @@
       confidence: outcome.confidence,
       namedLimit: attempt.declaredLimit,
       firstMs: firstMs === undefined ? undefined : Math.round(firstMs),
-      lastEvent: caller.eventCount > eventsBefore ? caller.lastEventId : undefined,
+      lastEvent:
+        caller.eventCount > eventsBefore ? caller.lastEventId : undefined,
       forMs: Math.round(forMs),
     });
     return outcome;
@@ -210,8 +235,10 @@
       model,
       caller,
       signal,
-      acceptsConfidence: confidence => this.escalationPolicy.acceptsResponse(progress, confidence),
-      hasOtherRunner: () => this.retryPolicy.canFailOver(progress, choice.runner),
+      acceptsConfidence: confidence =>
+        this.escalationPolicy.acceptsResponse(progress, confidence),
+      hasOtherRunner: () =>
+        this.retryPolicy.canFailOver(progress, choice.runner),
     });
   }
 
@@ -219,7 +246,8 @@
   private admit(progress: CallProgress, runner: Runner): string | undefined {
     const {gate, priorityAdmissionOf: urgentFirstOf} = this.options;
     const {service, priority} = progress.call;
-    const refusal = gate.admit(runner) ?? this.retryPolicy.spendReservation(progress);
+    const refusal =
+      gate.admit(runner) ?? this.retryPolicy.spendReservation(progress);
     if (refusal === undefined) urgentFirstOf(service).recordSent(priority);
     return refusal;
   }
@@ -233,7 +261,11 @@
     if (call.session !== undefined && progress.startedByVersion === undefined)
       sessions.set(call.session, entry.version);
     const hasSession = call.session !== undefined;
-    const {wish, isGranted, candidateCount: known = 0} = progress.versionDecision ?? {};
+    const {
+      wish,
+      isGranted,
+      candidateCount: known = 0,
+    } = progress.versionDecision ?? {};
     metrics.versionChoices.inc({
       service: entry.service,
       reason: wish?.reason,
--- a/packages/gateway/src/calls/call_progress.ts
+++ b/packages/gateway/src/calls/call_progress.ts
@@ -64,7 +64,8 @@
     if (wasSent(outcome)) this.sentCount += 1;
     if (this.startedByVersion !== undefined && wasUnreachable(outcome))
       this.unreachableCount += 1;
-    if (outcome.kind !== OutcomeKind.LOW_CONFIDENCE) this.triedRunners.add(runner.entry.id);
+    if (outcome.kind !== OutcomeKind.LOW_CONFIDENCE)
+      this.triedRunners.add(runner.entry.id);
     if (mayHaveRun(outcome)) this.mayHaveRun = true;
     if (outcome.kind === OutcomeKind.RUNNER_ERROR) {
       this.lastErrorResponse = outcome.response;
--- a/packages/gateway/src/calls/call_server.ts
+++ b/packages/gateway/src/calls/call_server.ts
@@ -93,7 +93,8 @@
   /** Ends all open calls. @returns how many there were */
   abortAll(reason: AbortReason): number {
     const count = this.openResponses.size;
-    for (const controller of [...this.openResponses.values()]) controller.abort(reason);
+    for (const controller of [...this.openResponses.values()])
+      controller.abort(reason);
     return count;
   }
 
@@ -131,13 +132,15 @@
 
   private accept(request: IncomingMessage, response: ServerResponse): void {
     // It crossed the end of its connection: unread, so its caller may send it again elsewhere.
-    if (this.closingConnections.has(request.socket)) return void request.socket.destroy();
+    if (this.closingConnections.has(request.socket))
+      return void request.socket.destroy();
     response.once('finish', () => this.closeIfShuttingDown(request.socket));
     const controller = new AbortController();
     this.openResponses.set(response, controller);
     response.once('close', () => {
       this.openResponses.delete(response);
-      if (!response.writableFinished) controller.abort(AbortReason.CALLER_DISCONNECTED);
+      if (!response.writableFinished)
+        controller.abort(AbortReason.CALLER_DISCONNECTED);
     });
     response.on('error', () => undefined);
     this.handle(request, response, controller).catch(error => {
@@ -167,13 +170,20 @@
     const body = await this.readBody(request, admission, controller);
     if (body === 'broken' || caller.isClosed)
       return this.recorder.recordIncompleteBody(request, acceptedAt);
-    if (body === 'late') return this.refuseIncompleteBody(request, response, caller);
+    if (body === 'late')
+      return this.refuseIncompleteBody(request, response, caller);
     if (body === 'too-large')
       return this.refuse(request, caller, {
         status: PAYLOAD_TOO_LARGE,
         reason: 'body over the limit of the configuration',
       });
-    const call = createCall({request, body, validated: admission, headerNames: names, acceptedAt});
+    const call = createCall({
+      request,
+      body,
+      validated: admission,
+      headerNames: names,
+      acceptedAt,
+    });
     this.recorder.recordAccepted(call);
     await this.forward(call, caller, controller);
   }
--- a/packages/gateway/src/calls/crash_attribution.ts
+++ b/packages/gateway/src/calls/crash_attribution.ts
@@ -1,4 +1,8 @@
-import {isStreamed, hashToUint32, weighRunnerCrash} from '@bayspool/decisions/calls';
+import {
+  isStreamed,
+  hashToUint32,
+  weighRunnerCrash,
+} from '@bayspool/decisions/calls';
 import type {Quarantine} from '@bayspool/decisions/calls';
 import type {EventLog} from '../observability/event_log.js';
 import type {Runner} from '../runners/runner.js';
@@ -34,7 +38,11 @@
     else if (outcome.isTruncated) this.recordCrash(call, runner, attempt);
   }
 
-  private recordCrash(call: IncomingCall, runner: Runner, attempt: Attempt): void {
+  private recordCrash(
+    call: IncomingCall,
+    runner: Runner,
+    attempt: Attempt,
+  ): void {
     const {log, quarantine} = this.options;
     const {fingerprint, id: request, route} = call;
     const {hasHead, sinceHeadMs, firstOutputAt: firstAt, isAlone} = attempt;
@@ -47,7 +55,9 @@
     });
     if (weight === 0) return;
     const start = getIncarnationId(runner.entry);
-    quarantine.recordCrashes(fingerprint, [{start: hashToUint32(start), weight}]);
+    quarantine.recordCrashes(fingerprint, [
+      {start: hashToUint32(start), weight},
+    ]);
     log.write('runner_end_counted', {
       request,
       fingerprint,
--- a/packages/gateway/src/calls/create_call.ts
+++ b/packages/gateway/src/calls/create_call.ts
@@ -54,7 +54,8 @@
     priority: holder?.priority ?? route.priority,
     acceptedAt,
     deadlineAt:
-      acceptedAt + Math.min(deadlineMs - RESPONSE_TRANSIT_MS, route.timeLimitMs),
+      acceptedAt +
+      Math.min(deadlineMs - RESPONSE_TRANSIT_MS, route.timeLimitMs),
     prompt: readPrompt(
       singleValue(headers[names.promptSize]),
       singleValue(headers[names.promptParts]),
--- a/packages/gateway/src/calls/escalation_policy.ts
+++ b/packages/gateway/src/calls/escalation_policy.ts
@@ -36,7 +36,10 @@
   constructor(private readonly options: Options) {}
 
   /** Whether an answer that has not reached the caller is used. */
-  acceptsResponse(progress: CallProgress, confidence: number | undefined): boolean {
+  acceptsResponse(
+    progress: CallProgress,
+    confidence: number | undefined,
+  ): boolean {
     const {cascade, clock, retryPolicy: repeats} = this.options;
     const {call, model} = progress;
     const {route} = call;
@@ -70,8 +73,16 @@
   }
 
   /** What asking the largest model would mean; undefined if no runner could take the call. */
-  private estimateLargest(progress: CallProgress): LargestModelForecast | undefined {
-    const {cascade, latencyTargetOf: targetOf, chooser, directory, chooseRunner: choose} = this.options;
+  private estimateLargest(
+    progress: CallProgress,
+  ): LargestModelForecast | undefined {
+    const {
+      cascade,
+      latencyTargetOf: targetOf,
+      chooser,
+      directory,
+      chooseRunner: choose,
+    } = this.options;
     const {route, service} = progress.call;
     const choice = choose(progress, cascade.largestModel(route));
     if (!choice) return undefined;
--- a/packages/gateway/src/calls/event_relay.ts
+++ b/packages/gateway/src/calls/event_relay.ts
@@ -88,7 +88,10 @@
     if (this.outcome.isSettled) return;
     const {response: answer, connection, caller, confidence} = this.options;
     const {status, isCloseDelimited: isUnframed} = this.head;
-    if (!isResponseComplete(answer, connection) || this.splitter.pendingBytes > 0)
+    if (
+      !isResponseComplete(answer, connection) ||
+      this.splitter.pendingBytes > 0
+    )
       return this.outcome.failTruncated('stream broke off');
     if (isUnframed && !caller.acceptsCloseDelimited)
       return this.outcome.fail('end of the stream is not certain');
--- a/packages/gateway/src/calls/is_self_delimited.ts
+++ b/packages/gateway/src/calls/is_self_delimited.ts
@@ -5,7 +5,10 @@
 const NOT_MODIFIED = 304;
 
 /** Whether an answer tells its end by a length or chunks, rather than by its connection's end. */
-export function isSelfDelimited({headers, statusCode}: IncomingMessage): boolean {
+export function isSelfDelimited({
+  headers,
+  statusCode,
+}: IncomingMessage): boolean {
   return (
     headers['content-length'] !== undefined ||
     headers['transfer-encoding'] !== undefined ||
--- a/packages/gateway/src/calls/read_connection_options.ts
+++ b/packages/gateway/src/calls/read_connection_options.ts
@@ -1,5 +1,7 @@
 /** Names that a Connection header lists: they belong to this connection only. */
-export function readConnectionOptions(rawHeaders: readonly string[]): Set<string> {
+export function readConnectionOptions(
+  rawHeaders: readonly string[],
+): Set<string> {
   const names = new Set<string>();
   for (let i = 0; i < rawHeaders.length; i += 2) {
     if (rawHeaders[i].toLowerCase() !== 'connection') continue;
--- a/packages/gateway/src/calls/read_limit.ts
+++ b/packages/gateway/src/calls/read_limit.ts
@@ -8,7 +8,10 @@
 const NO_LIMIT: LimitHeader = {};
 
 /** Reads how many requests a second a runner takes, as an answer says; a header that comes twice makes no sense. */
-export function readLimit(answer: IncomingMessage, header: string): LimitHeader {
+export function readLimit(
+  answer: IncomingMessage,
+  header: string,
+): LimitHeader {
   const value = answer.headers[header];
   if (value === undefined) return NO_LIMIT;
   const text = String(value).trim();
--- a/packages/gateway/src/calls/request_recorder.ts
+++ b/packages/gateway/src/calls/request_recorder.ts
@@ -75,7 +75,11 @@
   /** Records that the caller left before its request was whole: nothing was sent to a runner. */
   recordIncompleteBody(request: IncomingMessage, acceptedAt: number): void {
     const {clock, log, metrics} = this.options;
-    metrics.requests.inc({...NO_ROUTE, outcome: 'left', reason: BODY_INCOMPLETE});
+    metrics.requests.inc({
+      ...NO_ROUTE,
+      outcome: 'left',
+      reason: BODY_INCOMPLETE,
+    });
     log.write('caller_left', {
       request: this.readRequestId(request),
       attempts: 0,
--- a/packages/gateway/src/calls/request_validator.ts
+++ b/packages/gateway/src/calls/request_validator.ts
@@ -73,7 +73,10 @@
   }
 
   private findRoute({headers, url}: IncomingMessage): CallRoute | undefined {
-    return this.options.configuration.routes.find(headers.host ?? '', url ?? '');
+    return this.options.configuration.routes.find(
+      headers.host ?? '',
+      url ?? '',
+    );
   }
 
   private findHolder(
@@ -89,7 +92,11 @@
     route: CallRoute,
     holder: ApiKeyOwner | undefined,
   ): LocalResponse | undefined {
-    const {configuration: belief, maxKeyAgeMs, mayPredateConfiguration} = this.options;
+    const {
+      configuration: belief,
+      maxKeyAgeMs,
+      mayPredateConfiguration,
+    } = this.options;
     if (!keys || route.isPublic) return undefined;
     // It may have waited here since a time at which its key was withdrawn, and was sent to be refused.
     if (mayPredateConfiguration())
@@ -105,7 +112,8 @@
     {models}: CallRoute,
   ): boolean {
     return (
-      models.length === 0 || headers[this.options.headerNames.model] === ANY_MODEL
+      models.length === 0 ||
+      headers[this.options.headerNames.model] === ANY_MODEL
     );
   }
 
--- a/packages/gateway/src/calls/retry_policy.ts
+++ b/packages/gateway/src/calls/retry_policy.ts
@@ -67,12 +67,17 @@
   }
 
   /** Counts a repeat as it is sent. @returns why it must not be sent any more; undefined if it may */
-  spendReservation({retryReservation: reservation}: CallProgress): string | undefined {
+  spendReservation({
+    retryReservation: reservation,
+  }: CallProgress): string | undefined {
     const isPaid = !reservation || reservation.spend();
     return isPaid ? undefined : 'retry budget is spent';
   }
 
-  private reserveBudget(progress: CallProgress, budget: SharedRetryBudget): boolean {
+  private reserveBudget(
+    progress: CallProgress,
+    budget: SharedRetryBudget,
+  ): boolean {
     // What has not arrived at a runner yet is no repeat.
     if (progress.sentCount === 0) return true;
     const hasBegun = progress.startedByVersion !== undefined;
@@ -89,7 +94,8 @@
     leftMs: number,
   ): boolean {
     const {call} = progress;
-    if (leftMs < MIN_REMAINING_MS || progress.attemptCount >= MAX_ATTEMPTS) return false;
+    if (leftMs < MIN_REMAINING_MS || progress.attemptCount >= MAX_ATTEMPTS)
+      return false;
     if (this.options.quarantine.remainingMs(call.fingerprint) > 0) return false;
     if (progress.sentCount >= call.route.attempts) return false;
     if (outcome.kind === OutcomeKind.NOT_RUN) return true;
--- a/packages/gateway/src/calls/runner_header_builder.ts
+++ b/packages/gateway/src/calls/runner_header_builder.ts
@@ -37,7 +37,11 @@
       'content-length',
       'expect',
     ]);
-    this.requiredNames = new Set(['host', headerNames.promptSize, headerNames.promptParts]);
+    this.requiredNames = new Set([
+      'host',
+      headerNames.promptSize,
+      headerNames.promptParts,
+    ]);
   }
 
   /** Names and values by turns. */
@@ -78,7 +82,10 @@
     if (model !== undefined && call.route.models.length > 0)
       own.push(names.model, model);
     if (call.prompt)
-      own.push(names.priority, String(Math.min(LEAST_URGENT_PRIORITY, call.priority)));
+      own.push(
+        names.priority,
+        String(Math.min(LEAST_URGENT_PRIORITY, call.priority)),
+      );
     if (lastEventId !== undefined)
       own.push(names.lastEventId, String(lastEventId));
     if (call.body.length > 0 || call.method !== 'GET')
--- a/packages/gateway/src/calls/silence_timeout.ts
+++ b/packages/gateway/src/calls/silence_timeout.ts
@@ -54,7 +54,11 @@
   const {quietMs, longestPauseMs, hasEvents, expectedMs} = progress;
   if (route.kind === CallKind.SAFE)
     return (
-      quietMs > Math.max(safeTimeoutMs(route), runner.usualFirstByteMs * USUAL_LATENCY_FACTOR)
+      quietMs >
+      Math.max(
+        safeTimeoutMs(route),
+        runner.usualFirstByteMs * USUAL_LATENCY_FACTOR,
+      )
     );
   if (!isResumable(route)) return false;
   const pauseMs = effectivePauseTargetMs(route);
@@ -63,7 +67,9 @@
   const allowedMs = hasEvents
     ? longestPauseMs * LONGEST_PAUSE_FACTOR
     : expectedMs * EXPECTED_LATENCY_FACTOR;
-  const firstMs = hasEvents ? 0 : route.latencyTargetMs * FIRST_EVENT_TARGET_SHARE;
+  const firstMs = hasEvents
+    ? 0
+    : route.latencyTargetMs * FIRST_EVENT_TARGET_SHARE;
   const leastMs = Math.max(pauseMs * SILENT_RUNNER_PAUSE_SHARE, firstMs);
   return quietMs > Math.max(leastMs, allowedMs);
 }
--- a/packages/gateway/src/parts/host_limits.ts
+++ b/packages/gateway/src/parts/host_limits.ts
@@ -47,7 +47,11 @@
     const news: LimitObservation[] = [];
     for (const {entry, limit} of this.named.values()) {
       const {perSecond, ageMs} = limit;
-      news.push({runner: getIncarnationId(entry), perSecond, ageMs: Math.ceil(ageMs)});
+      news.push({
+        runner: getIncarnationId(entry),
+        perSecond,
+        ageMs: Math.ceil(ageMs),
+      });
     }
     return news;
   }
--- a/packages/gateway/src/parts/host_loads.test.ts
+++ b/packages/gateway/src/parts/host_loads.test.ts
@@ -62,7 +62,8 @@
   there.fixture.prefixes.notePrompt('one', 'small', prompt);
   tell(there, here);
   const runner = () => here.fixture.directory.all()[0];
-  const kept = () => here.fixture.prefixes.createCachedTokenCounter('small', prompt)('one');
+  const kept = () =>
+    here.fixture.prefixes.createCachedTokenCounter('small', prompt)('one');
   assert.equal(runner().totalRunning, 1);
   assert.equal(kept(), 20);
   // The other host has not heard of the new start yet.
--- a/packages/gateway/src/parts/observe_parts.ts
+++ b/packages/gateway/src/parts/observe_parts.ts
@@ -76,7 +76,11 @@
     'Places whose runners get no new calls, by order',
     () => cordons.places().length,
   );
-  metrics.observe('hosts', 'Hosts known to live', () => roster.listLive().length);
+  metrics.observe(
+    'hosts',
+    'Hosts known to live',
+    () => roster.listLive().length,
+  );
   metrics.observe('reads_store', 'Whether this host reads the store', () =>
     Number(news.readsStore),
   );
--- a/packages/gateway/src/peers/advance_rollout_ages.ts
+++ b/packages/gateway/src/peers/advance_rollout_ages.ts
@@ -9,7 +9,10 @@
  *
  * @param byMs time since then, in ms
  */
-export function advanceRolloutAges(digest: LoadDigest, byMs: number): LoadDigest {
+export function advanceRolloutAges(
+  digest: LoadDigest,
+  byMs: number,
+): LoadDigest {
   const services = Object.keys(digest.rollouts);
   if (services.length === 0 || byMs <= 0) return digest;
   const rollouts: Record<string, RolloutDigest> = {};
--- a/packages/gateway/src/peers/cached_load_sum.ts
+++ b/packages/gateway/src/peers/cached_load_sum.ts
@@ -21,7 +21,8 @@
   get(): LoadDigest {
     const now = this.options.clock.now();
     const keptMs = now - this.computedAt;
-    if (this.cachedSum && keptMs < CACHE_TTL_MS) return advanceRolloutAges(this.cachedSum, keptMs);
+    if (this.cachedSum && keptMs < CACHE_TTL_MS)
+      return advanceRolloutAges(this.cachedSum, keptMs);
     this.computedAt = now;
     this.cachedSum = mergeLoadDigests(this.options.listDigests());
     return this.cachedSum;
--- a/packages/gateway/src/peers/host_directory.test.ts
+++ b/packages/gateway/src/peers/host_directory.test.ts
@@ -22,7 +22,13 @@
   mirror = new TopicMirror(Topic.HOSTS);
   const log = new EventLog({clock, host: 'a1', sink: {write: () => undefined}});
   const refusals = unheardRefusals();
-  hostDirectory = new HostDirectory({clock, log, mirror, refusals, self: host('a1', 'a')});
+  hostDirectory = new HostDirectory({
+    clock,
+    log,
+    mirror,
+    refusals,
+    self: host('a1', 'a'),
+  });
   const others = [host('a2', 'a'), host('b1', 'b'), host('b2', 'b')];
   const records = others.map((entry, offset) => ({
     key: hostKey.forName(entry.name),
@@ -48,7 +54,8 @@
 });
 
 void test('hosts that are out of reach for long still count among the most that lived', () => {
-  for (const name of ['a2', 'b1', 'b2']) hostDirectory.recordFailure(name, 'silent');
+  for (const name of ['a2', 'b1', 'b2'])
+    hostDirectory.recordFailure(name, 'silent');
   clock.advance(20_000);
   assert.equal(hostDirectory.liveCount, 1);
   assert.equal(hostDirectory.peakLiveCount, 4);
--- a/packages/gateway/src/peers/host_directory.ts
+++ b/packages/gateway/src/peers/host_directory.ts
@@ -117,7 +117,8 @@
 
   /** Other places that are probably out of reach, their runners too: as seen here, or as told. */
   findLostPlaces(): ReadonlySet<string> {
-    if (this.lostSince.size + this.reportedLostUntil.size === 0) return EMPTY_SET;
+    if (this.lostSince.size + this.reportedLostUntil.size === 0)
+      return EMPTY_SET;
     const now = this.options.clock.now();
     const lost = this.findObservedLostPlaces();
     for (const [place, until] of this.reportedLostUntil)
@@ -172,7 +173,8 @@
   recordRequest(host: HostEntry): void {
     if (host.name === this.options.self.name) return;
     this.recordContact(host.place);
-    if (this.hostsByName.get(host.name)?.address !== host.address) this.addHost(host);
+    if (this.hostsByName.get(host.name)?.address !== host.address)
+      this.addHost(host);
     // Only a host that was lost is taken back: one in doubt answers for itself.
     else if (this.lostSince.has(host.name)) this.recordResponse(host.name);
   }
@@ -241,7 +243,8 @@
     const now = this.options.clock.now();
     const gone = new Set<string>();
     for (const [name, since] of this.lostSince)
-      if (now - since >= UNREACHABLE_AFTER_MS && this.hostsByName.has(name)) gone.add(name);
+      if (now - since >= UNREACHABLE_AFTER_MS && this.hostsByName.has(name))
+        gone.add(name);
     return gone;
   }
 
--- a/packages/gateway/src/peers/limit_broadcaster.ts
+++ b/packages/gateway/src/peers/limit_broadcaster.ts
@@ -29,7 +29,10 @@
     if (this.isScheduled) return;
     this.isScheduled = true;
     const {clock} = this.options;
-    const waitMs = Math.max(0, this.lastBroadcastAt + MIN_INTERVAL_MS - clock.now());
+    const waitMs = Math.max(
+      0,
+      this.lastBroadcastAt + MIN_INTERVAL_MS - clock.now(),
+    );
     clock.after(waitMs, () => this.broadcast());
   }
 
--- a/packages/gateway/src/peers/load_digest_registry.ts
+++ b/packages/gateway/src/peers/load_digest_registry.ts
@@ -57,12 +57,18 @@
   recordFleet(digest: LoadDigest): void {
     this.digestsByHost.clear();
     this.digestsByPlace.clear();
-    this.recordHost(ALL_OTHERS_KEY, subtractLoadDigest(digest, this.lastReported));
+    this.recordHost(
+      ALL_OTHERS_KEY,
+      subtractLoadDigest(digest, this.lastReported),
+    );
   }
 
   /** All others together, as this host heard. */
   sumOthers(): LoadDigest {
-    return mergeLoadDigests([...this.selectFresh(this.digestsByHost), ...this.selectFresh(this.digestsByPlace)]);
+    return mergeLoadDigests([
+      ...this.selectFresh(this.digestsByHost),
+      ...this.selectFresh(this.digestsByPlace),
+    ]);
   }
 
   /**
--- a/packages/gateway/src/peers/merge_prompt_parts.ts
+++ b/packages/gateway/src/peers/merge_prompt_parts.ts
@@ -4,7 +4,9 @@
 const MAX_KEYS = 512;
 
 /** The parts of several digests together; what comes first goes first where there are too many. */
-export function mergePromptParts(all: readonly PartKeysByRunner[]): PartKeysByRunner {
+export function mergePromptParts(
+  all: readonly PartKeysByRunner[],
+): PartKeysByRunner {
   const parts: Record<string, number[]> = {};
   let left = MAX_KEYS;
   for (const news of all) {
--- a/packages/gateway/src/peers/peer_synchronizer.test.ts
+++ b/packages/gateway/src/peers/peer_synchronizer.test.ts
@@ -76,7 +76,10 @@
 });
 
 void test('at the first start of all a host leaves the store to the seeds, and then reads if it is the first', () => {
-  const {clock, freshness, loop} = createSynchronizer({rank: 0, waitsForSeeds: true});
+  const {clock, freshness, loop} = createSynchronizer({
+    rank: 0,
+    waitsForSeeds: true,
+  });
   clock.advance(FIRST_START_DELAY_MS - 1);
   freshness.prove(clock.now());
   assert.equal(loop.readsStore, false);
--- a/packages/gateway/src/peers/peer_synchronizer.ts
+++ b/packages/gateway/src/peers/peer_synchronizer.ts
@@ -96,7 +96,8 @@
 
   constructor(private readonly options: Options) {
     const {clock, waitsForSeeds} = options;
-    this.firstStartDelayEndsAt = clock.now() + (waitsForSeeds ? FIRST_START_DELAY_MS : 0);
+    this.firstStartDelayEndsAt =
+      clock.now() + (waitsForSeeds ? FIRST_START_DELAY_MS : 0);
   }
 
   /** Whether this host is to read the operator's topic now. */
@@ -143,7 +144,9 @@
   /** The hosts of this place that may read the store while what is known is old. */
   private listFallbackReaders(): HostEntry[] {
     const {hostDirectory: roster} = this.options;
-    return roster.listReaderCandidates(roster.self.place).slice(0, MAX_FALLBACK_READERS);
+    return roster
+      .listReaderCandidates(roster.self.place)
+      .slice(0, MAX_FALLBACK_READERS);
   }
 
   private get isFirstStartDelayOver(): boolean {
@@ -180,7 +183,9 @@
         continue;
       }
       const hosts = roster.countLiveIn(roster.self.place);
-      const waitMs = isKnowing ? LONG_POLL_MS + hosts * LONG_POLL_PER_HOST_MS : 0;
+      const waitMs = isKnowing
+        ? LONG_POLL_MS + hosts * LONG_POLL_PER_HOST_MS
+        : 0;
       const isDone = await this.syncWithPeer(first, waitMs);
       isKnowing ||= isDone;
       if (isDone) await sleep(clock, POLL_PAUSE_MS);
@@ -224,14 +229,18 @@
   }
 
   private async syncWithPlace(place: string): Promise<void> {
-    const [first, ...others] = this.options.hostDirectory.listReaderCandidates(place);
+    const [first, ...others] =
+      this.options.hostDirectory.listReaderCandidates(place);
     if (!first || (await this.syncWithPeer(first, 0))) return;
     // One that does not answer may stand for its place: the others tell, all at once.
     const some = others.slice(0, MAX_ALTERNATES);
     await Promise.all(some.map(other => this.syncWithPeer(other, 0)));
   }
 
-  private async syncWithPeer(peer: HostEntry, waitMs: number): Promise<boolean> {
+  private async syncWithPeer(
+    peer: HostEntry,
+    waitMs: number,
+  ): Promise<boolean> {
     const {protocol: desk, onSync: onNews} = this.options;
     return this.callPeer(peer, waitMs, (answer, sentAt) => {
       desk.applyResponse(answer, sentAt);
@@ -245,7 +254,13 @@
     waitMs: number,
     take: (answer: SyncResponse, sentAt: number) => void,
   ): Promise<boolean> {
-    const {clock, client, protocol: desk, hostDirectory: roster, metrics} = this.options;
+    const {
+      clock,
+      client,
+      protocol: desk,
+      hostDirectory: roster,
+      metrics,
+    } = this.options;
     const sentAt = clock.now();
     try {
       const request = desk.request(waitMs, peer.place);
--- a/packages/gateway/src/peers/seed_bootstrap.ts
+++ b/packages/gateway/src/peers/seed_bootstrap.ts
@@ -58,7 +58,9 @@
   /** Asks the seeds; resolves when their answers are no longer waited for. */
   async run(): Promise<void> {
     const {clock, isFirstStart} = this.options;
-    const firstRounds = isFirstStart ? this.pollUntilLoaded() : this.pollLoadingSeed();
+    const firstRounds = isFirstStart
+      ? this.pollUntilLoaded()
+      : this.pollLoadingSeed();
     const headStartMs = isFirstStart ? FIRST_START_WAIT_MS : RESTART_WAIT_MS;
     await Promise.race([firstRounds, sleep(clock, headStartMs)]);
     if (this.isSeedLoading)
@@ -104,7 +106,8 @@
    * way to know anything.
    */
   private async pollUntilLoaded(): Promise<void> {
-    const waitMs = () => (this.waitsForSeeds && !this.isWaitOver ? SEED_LONG_POLL_MS : 0);
+    const waitMs = () =>
+      this.waitsForSeeds && !this.isWaitOver ? SEED_LONG_POLL_MS : 0;
     await this.askAllSeeds(waitMs());
     while (this.shouldContinue) {
       await sleep(this.options.clock, RETRY_DELAY_MS);
@@ -142,7 +145,11 @@
     const {clock, client, protocol: desk, log, onSync: onNews} = this.options;
     const sentAt = clock.now();
     try {
-      const answer = await client.sync(seed, desk.request(waitMs), RESPONSE_TIMEOUT_MS);
+      const answer = await client.sync(
+        seed,
+        desk.request(waitMs),
+        RESPONSE_TIMEOUT_MS,
+      );
       desk.applyResponse(answer, sentAt);
       onNews();
       const topics = Object.keys(answer.topics).length;
--- a/packages/gateway/src/peers/subtract_load_digest.ts
+++ b/packages/gateway/src/peers/subtract_load_digest.ts
@@ -3,11 +3,15 @@
 type RunnerCounts = readonly [number, number, number, number];
 
 /** A sum of loads without the part that one host added to it; evidence on roll-outs likewise. */
-export function subtractLoadDigest(sum: LoadDigest, part: LoadDigest): LoadDigest {
+export function subtractLoadDigest(
+  sum: LoadDigest,
+  part: LoadDigest,
+): LoadDigest {
   const runners: Record<string, RunnerCounts> = {...sum.runners};
   for (const [id, own] of Object.entries(part.runners)) {
     const all = runners[id];
-    if (all) runners[id] = all.map((n, i) => subtractClamped(n, own[i])) as never;
+    if (all)
+      runners[id] = all.map((n, i) => subtractClamped(n, own[i])) as never;
   }
   const rollouts = {...sum.rollouts};
   for (const [service, own] of Object.entries(part.rollouts)) {
@@ -31,7 +35,8 @@
   const rest = {...sum};
   for (const [name, own] of Object.entries(part)) {
     const all = rest[name];
-    if (all) rest[name] = all.map((n, i) => subtractClamped(n, own[i])) as never;
+    if (all)
+      rest[name] = all.map((n, i) => subtractClamped(n, own[i])) as never;
   }
   return rest;
 }
--- a/packages/gateway/src/peers/sync_protocol.test.ts
+++ b/packages/gateway/src/peers/sync_protocol.test.ts
@@ -25,7 +25,11 @@
   const refusals = unheardRefusals();
   const self = host(name, 'a');
   const roster = new HostDirectory({clock, log, mirror, refusals, self});
-  const board = new LoadDigestRegistry({clock, place: 'a', createOwnDigest: () => digest});
+  const board = new LoadDigestRegistry({
+    clock,
+    place: 'a',
+    createOwnDigest: () => digest,
+  });
   const limits = {isUrgentFor, take: () => undefined, news: () => []};
   const desk = new SyncProtocol({
     clock,
@@ -82,7 +86,9 @@
   const ask = async () => {
     for (;;) {
       const sentAt = clock.now();
-      const answer = await reader.desk.answerRequest(other.desk.request(1_200, 'a'));
+      const answer = await reader.desk.answerRequest(
+        other.desk.request(1_200, 'a'),
+      );
       other.desk.applyResponse(answer, sentAt);
       answers += 1;
     }
--- a/packages/gateway/src/peers/sync_protocol.ts
+++ b/packages/gateway/src/peers/sync_protocol.ts
@@ -42,7 +42,8 @@
   private publishedAt = -Infinity;
 
   constructor(private readonly options: Options) {
-    for (const mirror of options.mirrors) mirror.onUpdate(() => this.completeLongPolls());
+    for (const mirror of options.mirrors)
+      mirror.onUpdate(() => this.completeLongPolls());
     options.freshnessMirror.onProof(() => this.publishProof());
     options.hostDirectory.onPlaceLost(() => this.completeLongPolls());
   }
@@ -64,7 +65,9 @@
       loads: board.sumFor(from.place),
       limits: limits.news(),
       lostPlaces:
-        from.place === self.place ? [...roster.findObservedLostPlaces()] : undefined,
+        from.place === self.place
+          ? [...roster.findObservedLostPlaces()]
+          : undefined,
     };
   }
 
@@ -73,7 +76,12 @@
    * places are told of this one by its reader, so what this host has is left out there.
    */
   request(waitMs: number, place?: string): SyncRequest {
-    const {mirrors, loadDigests: board, limits, hostDirectory: roster} = this.options;
+    const {
+      mirrors,
+      loadDigests: board,
+      limits,
+      hostDirectory: roster,
+    } = this.options;
     const isInside = place === roster.self.place;
     const loaded = mirrors.filter(mirror => mirror.isLoaded);
     return {
@@ -192,7 +200,8 @@
 
   /** Proofs come from the store and from each other place; the hosts that wait are told of some of them. */
   private publishProof(): void {
-    if (this.options.clock.now() - this.publishedAt >= PUBLISH_INTERVAL_MS) this.publish();
+    if (this.options.clock.now() - this.publishedAt >= PUBLISH_INTERVAL_MS)
+      this.publish();
   }
 
   private completeLongPolls(): void {
--- a/packages/gateway/src/rollouts/recent_evidence.ts
+++ b/packages/gateway/src/rollouts/recent_evidence.ts
@@ -37,7 +37,8 @@
   update({fresh, old}: Evidence): Evidence {
     const at = this.options.clock.now();
     const last = this.snapshots.at(-1);
-    if (!last || at - last.at >= SNAPSHOT_INTERVAL_MS) this.addSnapshot({at, fresh, old});
+    if (!last || at - last.at >= SNAPSHOT_INTERVAL_MS)
+      this.addSnapshot({at, fresh, old});
     const [first] = this.snapshots;
     return {
       fresh: subtractCells(fresh, first.fresh, () => ZERO_COUNTS),
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -198,7 +198,10 @@
       oldRunning,
       freshSent: this.evidence.sent.fresh,
       oldSent: this.evidence.sent.old,
-      fresh: toDigestCells(this.evidence.fresh, this.evidence.countOverdue(true)),
+      fresh: toDigestCells(
+        this.evidence.fresh,
+        this.evidence.countOverdue(true),
+      ),
       old: toDigestCells(this.evidence.old, this.evidence.countOverdue(false)),
     };
   }
@@ -213,7 +216,10 @@
   }
 
   /** What all hosts saw of the two versions, on all routes together. */
-  get tallies(): {readonly fresh: VersionOutcomes; readonly old: VersionOutcomes} {
+  get tallies(): {
+    readonly fresh: VersionOutcomes;
+    readonly old: VersionOutcomes;
+  } {
     const {fresh, old} = this.combineDigests();
     return {
       fresh: sumAllCells(fresh),
@@ -233,7 +239,10 @@
   }
 
   /** Whether lately, or on one route, the new version fails more than the old one. */
-  private detectLikelyRegression(all: RolloutDigest, recent: Pick<RolloutDigest, 'fresh'>) {
+  private detectLikelyRegression(
+    all: RolloutDigest,
+    recent: Pick<RolloutDigest, 'fresh'>,
+  ) {
     const old = sumAllCells(all.old);
     if (isRecentlyWorse({fresh: sumAllCells(recent.fresh), old})) return true;
     return Object.keys(all.fresh).some(name =>
@@ -293,7 +302,9 @@
   /** The evidence of all hosts. */
   private combineDigests(): RolloutDigest {
     const own = this.createDigest(0);
-    return this.remoteDigest ? mergeRolloutDigests(own, this.remoteDigest) : own;
+    return this.remoteDigest
+      ? mergeRolloutDigests(own, this.remoteDigest)
+      : own;
   }
 
   private markBad(
@@ -337,7 +348,10 @@
   return sumCells(cells, Object.keys(cells));
 }
 
-function sumCells(cells: RolloutDigest['fresh'], names: string[]): VersionOutcomes {
+function sumCells(
+  cells: RolloutDigest['fresh'],
+  names: string[],
+): VersionOutcomes {
   const sum = {ended: 0, failed: 0, slow: 0};
   for (const name of names) {
     const [ended, failed, slow] = cells[name] ?? [0, 0, 0];
--- a/packages/gateway/src/rollouts/rollout_controller.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -52,10 +52,13 @@
     const isActive = book
       .all()
       .some(({phase}) => phase === RolloutPhase.ACTIVE);
-    this.timer = clock.after(isActive ? ACTIVE_INTERVAL_MS : IDLE_INTERVAL_MS, () => {
-      for (const rollout of book.all()) this.reconcile(rollout);
-      this.start();
-    });
+    this.timer = clock.after(
+      isActive ? ACTIVE_INTERVAL_MS : IDLE_INTERVAL_MS,
+      () => {
+        for (const rollout of book.all()) this.reconcile(rollout);
+        this.start();
+      },
+    );
   }
 
   /** Stops writing. */
@@ -98,7 +101,8 @@
   private findDuePhase(rollout: Rollout): RolloutPhase | undefined {
     if (rollout.isBad) return RolloutPhase.REVERTED;
     const oldRunning =
-      this.options.oldRunning(rollout) + (rollout.remoteDigest?.oldRunning ?? 0);
+      this.options.oldRunning(rollout) +
+      (rollout.remoteDigest?.oldRunning ?? 0);
     return rollout.mayComplete(oldRunning) ? RolloutPhase.COMPLETE : undefined;
   }
 
@@ -143,7 +147,10 @@
       const isOpen = await this.reloadStates(rollout);
       if (!isOpen) return;
       // Another host announced it a moment ago.
-      if (phase === RolloutPhase.ACTIVE && this.options.rollouts.findState(rollout))
+      if (
+        phase === RolloutPhase.ACTIVE &&
+        this.options.rollouts.findState(rollout)
+      )
         return;
       const {key, value} = reader.writeState({service, version, phase});
       const expectedEnd = this.options.states.next;
@@ -153,7 +160,10 @@
     } catch (error) {
       const reason = String(error);
       log.write('rollout_write_failed', {service, version, phase, reason});
-      this.phaseDueSince.set(rollout, this.options.clock.now() + RETRY_DELAY_MS);
+      this.phaseDueSince.set(
+        rollout,
+        this.options.clock.now() + RETRY_DELAY_MS,
+      );
     }
   }
 
--- a/packages/gateway/src/rollouts/rollout_evidence.ts
+++ b/packages/gateway/src/rollouts/rollout_evidence.ts
@@ -66,7 +66,11 @@
   }
 
   /** Counts an attempt that its caller or a time limit ended, if it had been awaited for so long that it was slow. */
-  recordUnanswered(cellName: string, isFresh: boolean, times: AnswerTimes): void {
+  recordUnanswered(
+    cellName: string,
+    isFresh: boolean,
+    times: AnswerTimes,
+  ): void {
     if (!this.isSlow(cellName, times)) return;
     const cell = this.getOrCreateTally(cellName, isFresh);
     cell.ended += 1;
@@ -88,7 +92,9 @@
 
   private isSlow(cellName: string, times: AnswerTimes): boolean {
     const {firstMs = 0, eventMs = 0, expectedMs} = times;
-    const usual = this.firstByteBaselines.get(getBaselineKey(cellName, times))?.mean;
+    const usual = this.firstByteBaselines.get(
+      getBaselineKey(cellName, times),
+    )?.mean;
     const usualEventMs = this.eventBaselines.get(cellName)?.mean;
     const isLate =
       usual !== undefined &&
@@ -104,9 +110,12 @@
     const {firstMs, eventMs, expectedMs} = times;
     if (firstMs !== undefined) {
       const name = getBaselineKey(cellName, times);
-      getOrCreateBaseline(this.firstByteBaselines, name).observe(computeRelativeDelay(firstMs, expectedMs));
+      getOrCreateBaseline(this.firstByteBaselines, name).observe(
+        computeRelativeDelay(firstMs, expectedMs),
+      );
     }
-    if (eventMs !== undefined) getOrCreateBaseline(this.eventBaselines, cellName).observe(eventMs);
+    if (eventMs !== undefined)
+      getOrCreateBaseline(this.eventBaselines, cellName).observe(eventMs);
   }
 
   private getOrCreateTally(name: string, isFresh: boolean): CellTally {
@@ -128,7 +137,10 @@
   return expectedMs > 0 ? PROMPTS_BASELINE : cellName;
 }
 
-function getOrCreateBaseline(baselines: Map<string, Baseline>, name: string): Baseline {
+function getOrCreateBaseline(
+  baselines: Map<string, Baseline>,
+  name: string,
+): Baseline {
   const known = baselines.get(name);
   if (known) return known;
   const baseline = new Baseline();
--- a/packages/gateway/src/rollouts/rollout_exposure.ts
+++ b/packages/gateway/src/rollouts/rollout_exposure.ts
@@ -36,26 +36,34 @@
     const {elapsedMs, durationMs, isSuspect} = facts;
     if (!canShiftSessions(facts)) return 0;
     // Hosts hear of the end one after the other: sessions went back at the next host without this.
-    if (elapsedMs >= computeLatestCompletionMs(durationMs) && !isSuspect) return FULL_SHARE;
+    if (elapsedMs >= computeLatestCompletionMs(durationMs) && !isSuspect)
+      return FULL_SHARE;
     return this.sessionSchedule.shareAt(elapsedMs);
   }
 
   /** The share of calls without a session that are to go there now, 0 to 1. */
   get callShare(): number {
     const facts = this.updateSchedule();
-    return this.isMovingAll ? FULL_SHARE : computeCanaryShare(this.options.bounds, facts);
+    return this.isMovingAll
+      ? FULL_SHARE
+      : computeCanaryShare(this.options.bounds, facts);
   }
 
   /** Whether one more call without a session may go to the new version: asked for each, by what was counted up to it. */
   get isUnderExposureLimit(): boolean {
     const facts = this.updateSchedule();
     if (this.isMovingAll) return this.isUnderOwnLimit();
-    return facts.sentFresh + 1 <= computeCanaryLimit(this.options.bounds, facts);
+    return (
+      facts.sentFresh + 1 <= computeCanaryLimit(this.options.bounds, facts)
+    );
   }
 
   /** Whether all calls are to move, and no longer some to watch it. */
   get isMovingAll(): boolean {
-    return this.sessionSchedule.shareAt(this.options.facts().elapsedMs) === FULL_SHARE;
+    return (
+      this.sessionSchedule.shareAt(this.options.facts().elapsedMs) ===
+      FULL_SHARE
+    );
   }
 
   /** The steps of the sessions' share, for the other hosts. */
@@ -88,9 +96,14 @@
     const {bounds} = this.options;
     const facts = this.options.facts();
     const {elapsedMs} = facts;
-    const then = {...facts, elapsedMs: SessionShareSchedule.effectiveFrom(elapsedMs)};
+    const then = {
+      ...facts,
+      elapsedMs: SessionShareSchedule.effectiveFrom(elapsedMs),
+    };
     if (!canShiftSessions(then)) return facts;
-    const share = canShiftAllCalls(bounds, then) ? FULL_SHARE : computeCanaryShare(bounds, facts);
+    const share = canShiftAllCalls(bounds, then)
+      ? FULL_SHARE
+      : computeCanaryShare(bounds, facts);
     this.sessionSchedule.scheduleIncrease(share, elapsedMs);
     return facts;
   }
--- a/packages/gateway/src/rollouts/rollout_registry.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -124,7 +124,9 @@
     }
   }
 
-  private getRememberedVersion(session: string | undefined): string | undefined {
+  private getRememberedVersion(
+    session: string | undefined,
+  ): string | undefined {
     if (session === undefined) return undefined;
     return this.options.sessions.get(session);
   }
@@ -138,13 +140,15 @@
     const {version, offset} = rollout.order;
     if (rollout.isRolledBack) return VersionReason.ROLLED_BACK;
     if (phase === RolloutPhase.COMPLETE) return VersionReason.ALL_CALLS;
-    if (shouldLeaveNewVersion(rollout, question)) return VersionReason.FAILED_ON_NEW;
+    if (shouldLeaveNewVersion(rollout, question))
+      return VersionReason.FAILED_ON_NEW;
     if (remembered === version) return VersionReason.SESSION_ON_NEW;
     if (!this.options.isConnected()) return chooseDisconnectedReason(rollout);
     const share = rollout.shareOf({hasSession: session !== undefined});
     const isInShare = hashToFraction(`${offset}|${session ?? key}`) < share;
     if (!isInShare) return VersionReason.OUTSIDE_SHARE;
-    if (session === undefined && !rollout.isUnderExposureLimit) return VersionReason.OVER_EXPOSURE_LIMIT;
+    if (session === undefined && !rollout.isUnderExposureLimit)
+      return VersionReason.OVER_EXPOSURE_LIMIT;
     return share === 1 ? VersionReason.ALL_CALLS : VersionReason.IN_SHARE;
   }
 
@@ -157,7 +161,9 @@
     const known = this.rollouts.get(order.service);
     if (known && known.order.offset >= order.offset) return;
     // An order that was not in the copy before is new: a time of day could only mislead.
-    const elapsedMs = this.hasLoadedOrders ? 0 : starts.estimateElapsedMs(order);
+    const elapsedMs = this.hasLoadedOrders
+      ? 0
+      : starts.estimateElapsedMs(order);
     const statesFrom = this.statesFrom(order, known, isReload);
     const rollout = new Rollout({
       ...this.options,
--- a/packages/gateway/src/runners/cold_start_bound.ts
+++ b/packages/gateway/src/runners/cold_start_bound.ts
@@ -41,7 +41,11 @@
     if (!runner.isCold) return undefined;
     // A bound that has just come into force holds at once.
     if (!this.options.limitsOf(runner.entry.service)) return undefined;
-    return {calls: this.shares.get(runner), windowMs: WINDOW_MS, minIntervalMs: 0};
+    return {
+      calls: this.shares.get(runner),
+      windowMs: WINDOW_MS,
+      minIntervalMs: 0,
+    };
   }
 
   private computeCalls({entry: {id, place, service}}: Runner): number {
--- a/packages/gateway/src/runners/connection_pool.ts
+++ b/packages/gateway/src/runners/connection_pool.ts
@@ -29,7 +29,9 @@
 
   /** Whether a request can have a connection now. */
   get hasRoom(): boolean {
-    return this.idle.length > 0 || this.openCount < this.options.maxConnections();
+    return (
+      this.idle.length > 0 || this.openCount < this.options.maxConnections()
+    );
   }
 
   /** A connection that is up and carries nothing; fails with {@link ConnectFailure}. */
@@ -59,8 +61,15 @@
   }
 
   private async openConnection(): Promise<PooledConnection> {
-    const {clock, address, maxConnections, connectTimeout: patience, onOpened} = this.options;
-    if (this.openCount >= maxConnections()) throw new ConnectFailure('saturated');
+    const {
+      clock,
+      address,
+      maxConnections,
+      connectTimeout: patience,
+      onOpened,
+    } = this.options;
+    if (this.openCount >= maxConnections())
+      throw new ConnectFailure('saturated');
     this.openCount += 1;
     let socket: Socket;
     try {
--- a/packages/gateway/src/runners/declared_limit_bound.test.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.test.ts
@@ -93,7 +93,8 @@
     const limits = hosts.map(({runner}) => runner.limit);
     const newest = limits.reduce((a, b) => (b.ageMs < a.ageMs ? b : a));
     const {perSecond, ageMs} = newest;
-    for (const limit of limits) limit.updateFromPeer(perSecond, clock.now() - ageMs);
+    for (const limit of limits)
+      limit.updateFromPeer(perSecond, clock.now() - ageMs);
   }
 
   function send(host: Host): void {
--- a/packages/gateway/src/runners/declared_limit_bound.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.ts
@@ -1,4 +1,8 @@
-import {computeHostShare, computeWindowQuota, rankByHash} from '@bayspool/decisions/calls';
+import {
+  computeHostShare,
+  computeWindowQuota,
+  rankByHash,
+} from '@bayspool/decisions/calls';
 import type {RunnerRateLimit} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import {PerRunnerCache} from './per_runner_cache.js';
@@ -61,7 +65,11 @@
     const standing = this.ranks.get(runner);
     const calls = computeWindowQuota({...tolerance, perSecond});
     const own = computeHostShare({...standing, calls, minUsefulCalls: 1});
-    const isDue = isProbeTurn(standing, ageMs, computeProbeIntervalMs(perSecond));
+    const isDue = isProbeTurn(
+      standing,
+      ageMs,
+      computeProbeIntervalMs(perSecond),
+    );
     const share = Math.max(own, isDue ? 1 : 0);
     const windowMs = tolerance.windowMs + WINDOW_MARGIN_MS;
     const gapMs = (windowMs / Math.max(1, share)) * MIN_INTERVAL_RATIO;
--- a/packages/gateway/src/runners/prefill_rates.test.ts
+++ b/packages/gateway/src/runners/prefill_rates.test.ts
@@ -6,7 +6,10 @@
   const rates = new PrefillRates();
   const guess = rates.getMsPerToken('small');
   for (let i = 0; i < 20; i++) rates.learn('small', 1_000, 6, false);
-  assert.ok(rates.getMsPerToken('small') < guess / 2, `${rates.getMsPerToken('small')}`);
+  assert.ok(
+    rates.getMsPerToken('small') < guess / 2,
+    `${rates.getMsPerToken('small')}`,
+  );
 });
 
 void test('waiting behind other work is not taken for slow reading', () => {
@@ -34,5 +37,8 @@
   ]);
   const rates = new PrefillRates({costFactorOf: model => costs.get(model)});
   rates.learn('small', 1_000, 120, true);
-  assert.ok(Math.abs(rates.getMsPerToken('large') - 10 * rates.getMsPerToken('small')) < 1e-9);
+  assert.ok(
+    Math.abs(rates.getMsPerToken('large') - 10 * rates.getMsPerToken('small')) <
+      1e-9,
+  );
 });
--- a/packages/gateway/src/runners/prefill_rates.ts
+++ b/packages/gateway/src/runners/prefill_rates.ts
@@ -50,7 +50,8 @@
         this.byModel.set(model, measured);
       return;
     }
-    if (measured < before) this.adjust(model, before, -STEP_SIZE * (1 - QUANTILE));
+    if (measured < before)
+      this.adjust(model, before, -STEP_SIZE * (1 - QUANTILE));
     else if (wasUnloaded) this.adjust(model, before, STEP_SIZE * QUANTILE);
   }
 
--- a/packages/gateway/src/runners/prefix_cache_index.ts
+++ b/packages/gateway/src/runners/prefix_cache_index.ts
@@ -34,7 +34,10 @@
    * Tells for any runner how many tokens at the start of the prompt it probably still keeps. The keys of
    * the parts are made once for all runners.
    */
-  createCachedTokenCounter(model: string, {parts}: Prompt): (runner: string) => number {
+  createCachedTokenCounter(
+    model: string,
+    {parts}: Prompt,
+  ): (runner: string) => number {
     const keys = parts.map(part => hashPart(model, part));
     return runner => {
       const known = this.byRunner.get(runner);
@@ -60,9 +63,12 @@
   /** Parts that this host had runners read lately, for the other hosts. */
   collectRecentKeys(): PartKeysByRunner {
     const since = this.options.clock.now() - SHARED_FOR_MS;
-    this.recentParts = this.recentParts.filter(({at}) => at > since).slice(-MAX_SHARED_KEYS);
+    this.recentParts = this.recentParts
+      .filter(({at}) => at > since)
+      .slice(-MAX_SHARED_KEYS);
     const news: Record<string, number[]> = {};
-    for (const {runner, key} of this.recentParts) (news[runner] ??= []).push(key);
+    for (const {runner, key} of this.recentParts)
+      (news[runner] ??= []).push(key);
     return news;
   }
 
--- a/packages/gateway/src/runners/runner.ts
+++ b/packages/gateway/src/runners/runner.ts
@@ -110,7 +110,8 @@
   /** Whether it has work of this host and has sent nothing for much longer than it usually takes. */
   get isQuiet(): boolean {
     const quietMs = this.options.clock.now() - this.silentSince;
-    const expectedMs = this.meanGapMs * GAP_FACTOR + this.pendingMs * PENDING_FACTOR;
+    const expectedMs =
+      this.meanGapMs * GAP_FACTOR + this.pendingMs * PENDING_FACTOR;
     return quietMs > MIN_QUIET_MS + expectedMs;
   }
 
--- a/packages/gateway/src/runners/runner_chooser.ts
+++ b/packages/gateway/src/runners/runner_chooser.ts
@@ -75,7 +75,8 @@
   choose(query: RunnerQuery): RunnerChoice | undefined {
     const lost = this.options.lostPlaces();
     const home = this.findPrefixOwner(query, lost);
-    const pool = this.sampleRunners(query, lost, home) ?? findFallback(query, lost);
+    const pool =
+      this.sampleRunners(query, lost, home) ?? findFallback(query, lost);
     if (!pool) return undefined;
     const {reason, runners, ejected} = pool;
     const best = this.findCheapest(runners, query, home);
@@ -154,7 +155,11 @@
     for (const runner of candidates)
       if (isAssigned(runner)) add(runner);
       else rest.push(runner);
-    const count = Math.max(MIN_SAMPLE_SIZE, wanted, runners.length + MIN_RANDOM_RUNNERS);
+    const count = Math.max(
+      MIN_SAMPLE_SIZE,
+      wanted,
+      runners.length + MIN_RANDOM_RUNNERS,
+    );
     while (runners.length < count && rest.length > 0)
       add(removeRandom(rest, random));
     if (runners.length === 0) return undefined;
@@ -173,7 +178,8 @@
     const spread = random.next() * JITTER_MS;
     const {prompt, model} = query;
     if (!prompt || model === undefined) {
-      const costMs = (computeQueueCostMs(runner) + crossing) * runner.slowness + spread;
+      const costMs =
+        (computeQueueCostMs(runner) + crossing) * runner.slowness + spread;
       return {runner, costMs, workMs: 0, waitMs: 0, unreadTokens: 0};
     }
     const unreadTokens = Math.max(1, prompt.tokens - kept);
@@ -236,8 +242,7 @@
 function computeQueueCostMs(runner: Runner): number {
   const over = Math.max(0, runner.totalRunning - runner.entry.slots + 1);
   return (
-    runner.totalRunning * PLAIN_RUNNING_COST_MS +
-    over * PLAIN_QUEUED_COST_MS
+    runner.totalRunning * PLAIN_RUNNING_COST_MS + over * PLAIN_QUEUED_COST_MS
   );
 }
 
--- a/packages/gateway/src/runners/sent_calls.ts
+++ b/packages/gateway/src/runners/sent_calls.ts
@@ -36,7 +36,10 @@
   }
 
   /** Time until a share has room for a call, in ms; 0 if it has now, Infinity if it has none at all. */
-  computeWaitMs(id: string, {calls, windowMs, minIntervalMs: gapMs}: HostShare): number {
+  computeWaitMs(
+    id: string,
+    {calls, windowMs, minIntervalMs: gapMs}: HostShare,
+  ): number {
     if (calls < 1) return Infinity;
     const times = this.times.get(id) ?? [];
     // As many calls back as fit into a window.
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_world.ts
@@ -182,7 +182,9 @@
         .filter((digest, i) => i !== index && digest)
         .map(digest => digest!);
       if (host.isCutOff || others.length === 0) return;
-      host.book.applyRemoteDigests({[SERVICE]: others.reduce(mergeRolloutDigests)});
+      host.book.applyRemoteDigests({
+        [SERVICE]: others.reduce(mergeRolloutDigests),
+      });
     });
   }
 
