--- a/packages/decisions/src/calls/api_key_owner.ts
+++ b/packages/decisions/src/calls/api_key_owner.ts
@@ -1,8 +1,8 @@
-/** The workspace that holds an API key. */
+/** The workspace that owns an API key. */
 export interface ApiKeyOwner {
   readonly workspace: string;
-  /** Regions in which its data may be; undefined if any will do. */
+  /** Regions in which its data may be processed; undefined if all are allowed. */
   readonly regions?: readonly string[];
-  /** Takes the place of the route's priority when given; 0 is the most urgent. */
+  /** Overrides the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
 }
--- a/packages/decisions/src/calls/bucketed_counter.ts
+++ b/packages/decisions/src/calls/bucketed_counter.ts
@@ -2,15 +2,15 @@
 
 interface Options {
   readonly clock: Clock;
-  /** Length of a slice, in ms. */
+  /** Length of a bucket, in ms. */
   readonly bucketMs: number;
-  /** Slices that are remembered, the current one included. */
+  /** Number of buckets, including the current one. */
   readonly bucketCount: number;
 }
 
-/** Counts events by slices of time. */
+/** Counts events in buckets of time. */
 export class BucketedCounter {
-  /** The current slice first. */
+  /** Counts of the buckets, the current one first. */
   private readonly counts: number[];
   private lastBucket: number;
 
@@ -19,13 +19,13 @@
     this.lastBucket = this.currentBucket;
   }
 
-  /** Counts something that happened now. */
+  /** Counts an event that happens now. */
   increment(): void {
     this.expireBuckets();
     this.counts[0] += 1;
   }
 
-  /** What was counted in each slice, the current one first; valid until time goes on. */
+  /** Counts of the buckets, the current one first; valid until time advances. */
   latestFirst(): readonly number[] {
     this.expireBuckets();
     return this.counts;
@@ -37,10 +37,10 @@
 
   private expireBuckets(): void {
     const current = this.currentBucket;
-    const passed = current - this.lastBucket;
-    if (passed === 0) return;
-    this.counts.copyWithin(passed, 0);
-    this.counts.fill(0, 0, passed);
+    const elapsedBuckets = current - this.lastBucket;
+    if (elapsedBuckets === 0) return;
+    this.counts.copyWithin(elapsedBuckets, 0);
+    this.counts.fill(0, 0, elapsedBuckets);
     this.lastBucket = current;
   }
 }
--- a/packages/decisions/src/calls/call_configuration.ts
+++ b/packages/decisions/src/calls/call_configuration.ts
@@ -3,13 +3,13 @@
 import type {CallService} from './call_service.js';
 import type {ApiKeyOwner} from './api_key_owner.js';
 
-/** One version of all that operators set for routed calls. */
+/** One version of the configuration of routed calls. */
 export interface CallConfiguration {
-  /** Rises with each version, in uneven steps. */
+  /** Increases with each version, not necessarily by 1. */
   readonly version: number;
   readonly routes: readonly CallRoute[];
   readonly services: ReadonlyMap<string, CallService>;
   readonly limits: CallLimits;
-  /** Holders by API key; absent when callers need no keys. */
+  /** Key owners by API key; absent if callers need no keys. */
   readonly keys?: ReadonlyMap<string, ApiKeyOwner>;
 }
--- a/packages/decisions/src/calls/call_kind.ts
+++ b/packages/decisions/src/calls/call_kind.ts
@@ -1,12 +1,12 @@
-/** What may be repeated of a routed call. */
+/** Whether a routed call may be repeated, and whether its response is streamed. */
 const CallKind = {
   /** May run any number of times. */
   SAFE: 'safe',
-  /** May run once at most. */
+  /** May run at most once. */
   UNSAFE: 'unsafe',
-  /** A stream of events that may run once at most. */
+  /** A stream of events that may run at most once. */
   STREAM: 'stream',
-  /** A stream that another runner may continue after the last event passed on. */
+  /** A stream that another runner may continue after the last event forwarded. */
   RESUMABLE: 'resumable',
 } as const;
 type CallKind = (typeof CallKind)[keyof typeof CallKind];
--- a/packages/decisions/src/calls/call_limits.ts
+++ b/packages/decisions/src/calls/call_limits.ts
@@ -1,9 +1,9 @@
-/** Bounds on what a caller may send, and how long it may take. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Time for all headers of a request to arrive, in ms. */
+  /** Time within which all headers of a request have to arrive, in ms. */
   readonly headerTimeoutMs: number;
-  /** Time after which a resting connection may be closed, in ms. */
+  /** Time after which an idle connection may be closed, in ms. */
   readonly idleTimeoutMs: number;
 }
--- a/packages/decisions/src/calls/call_service.ts
+++ b/packages/decisions/src/calls/call_service.ts
@@ -3,10 +3,10 @@
 /** A group of runners that serve the same calls. */
 export interface CallService {
   readonly name: string;
-  /** Connections that one runner accepts from all hosts together. */
+  /** Maximum number of connections that a runner accepts from all hosts together. */
   readonly maxConnections: number;
-  /** Calls a second that a runner bears while it is slow from its start; undefined if nothing bounds them. */
+  /** Calls per second that a runner can handle during its cold start; undefined if unlimited. */
   readonly coldCallsPerSecond?: number;
-  /** What is known of the model engine; absent for plain services. */
+  /** Profile of the model engine; absent for plain services. */
   readonly engine?: EngineProfile;
 }
--- a/packages/decisions/src/calls/can_complete_rollout.ts
+++ b/packages/decisions/src/calls/can_complete_rollout.ts
@@ -3,43 +3,52 @@
 import {computeLatestCompletionMs} from './compute_latest_completion_ms.js';
 import type {RolloutProgress} from './rollout_progress.js';
 
-/** Part of the duration before which no roll-out is complete: until then a fault may show that comes late. */
+/** Part of the duration before which no rollout is completed, as some faults show up late. */
 const EARLIEST_COMPLETION_PART = 0.77;
-/** How much faster than now calls may come afterwards, when nothing can hold them back from the new version any more. */
+/**
+ * Rise of the call rate to allow for after an early completion, when no call can be kept from the
+ * new version any more.
+ */
 const SURGE_FACTOR = 2.5;
-/** The same shortly before the limit, for what other hosts gave and did not tell yet. */
+/** The same shortly before the limit, for calls that other hosts have sent but not reported yet. */
 const UNREPORTED_CALLS_FACTOR = 1.2;
-/** Time before the limit at which it is complete also if more comes up to the limit, in ms: one call to a store. */
+/**
+ * Time before the limit at which the rollout is completed even if the calls up to the limit exceed
+ * the bound, in ms: one call to a store.
+ */
 const FORCED_COMPLETION_MS = 300;
 
 /**
- * Whether a roll-out may be complete. All calls go to the new version then, and the old runners are stopped, so it waits for
- * these to have nothing left, and until what comes up to the limit is no more than a bad version may get too.
+ * Whether a rollout may be completed. Completion sends all calls to the new version and stops the
+ * old runners. So it waits until the old runners have nothing left and the calls up to the limit
+ * stay within what even a bad version may get.
  *
  * @param oldRunning calls that still run on the old version
  */
 export function canCompleteRollout(
   bounds: ExposureBounds,
-  facts: RolloutProgress,
+  progress: RolloutProgress,
   oldRunning: number,
 ): boolean {
-  const {elapsedMs, durationMs, isSuspect, isMovingAll} = facts;
+  const {elapsedMs, durationMs, isSuspect, isMovingAll} = progress;
   if (isSuspect) return false;
   if (elapsedMs >= durationMs - FORCED_COMPLETION_MS) return true;
   if (elapsedMs >= computeLatestCompletionMs(durationMs))
-    return staysWithinLimit(bounds, facts, UNREPORTED_CALLS_FACTOR);
+    return staysWithinLimit(bounds, progress, UNREPORTED_CALLS_FACTOR);
   if (!isMovingAll || oldRunning > 0) return false;
   if (elapsedMs < durationMs * EARLIEST_COMPLETION_PART) return false;
-  return staysWithinLimit(bounds, facts, SURGE_FACTOR);
+  return staysWithinLimit(bounds, progress, SURGE_FACTOR);
 }
 
-/** Whether the new version may get all calls up to the limit, if they come some times as fast as now. */
+/** Whether the new version may get all calls up to the limit if their rate rises by a factor. */
 function staysWithinLimit(
   bounds: ExposureBounds,
-  facts: RolloutProgress,
-  times: number,
+  progress: RolloutProgress,
+  surgeFactor: number,
 ): boolean {
-  const {elapsedMs, durationMs, callsPerMs, sentFresh} = facts;
-  const toCome = callsPerMs * (durationMs - elapsedMs) * times;
-  return sentFresh + toCome <= estimateFinalExposureLimit(bounds, facts);
+  const {elapsedMs, durationMs, callsPerMs, sentFresh} = progress;
+  const expectedCalls = callsPerMs * (durationMs - elapsedMs) * surgeFactor;
+  return (
+    sentFresh + expectedCalls <= estimateFinalExposureLimit(bounds, progress)
+  );
 }
--- a/packages/decisions/src/calls/can_shift_one_more_call.ts
+++ b/packages/decisions/src/calls/can_shift_one_more_call.ts
@@ -3,26 +3,31 @@
 import {computeLatestCompletionMs} from './compute_latest_completion_ms.js';
 import type {RolloutProgress} from './rollout_progress.js';
 
-/** How much faster than in the last seconds calls may come once nothing holds them back. */
+/**
+ * Rise of the call rate over that of the last seconds to allow for once nothing holds calls back.
+ */
 const SURGE_FACTOR = 1.2;
 
 /**
- * Whether, while all calls move to the new version, one more call without a session may be put there. From the end of the
- * roll-out on all calls go there, so those up to the limit count before one more is given; it guards against calls that
- * come faster than when the move began.
+ * Whether one more call without a session may be sent to the new version while all calls are being
+ * shifted. After the completion all calls go there, so the calls between completion and limit are
+ * counted before one more is allowed. This covers a call rate that has risen since the shift began.
  *
  * @param bounds this host's part of the bounds
- * @param own what this host itself counted: it is exact, where what others told is half a second old or more
+ * @param own counts of this host alone: they are exact, while those of other hosts are half a
+ * second old or more
  */
 export function canShiftOneMoreCall(
   bounds: ExposureBounds,
   own: RolloutProgress,
 ): boolean {
   const {durationMs, elapsedMs, sentFresh, callsPerMs, freshPerMs} = own;
-  const completeMs = computeLatestCompletionMs(durationMs);
-  const untilCompleteMs = Math.max(0, completeMs - elapsedMs);
-  const afterwardsMs = durationMs - completeMs;
-  const afterwards = callsPerMs * afterwardsMs * SURGE_FACTOR;
-  const toCome = freshPerMs * untilCompleteMs + afterwards;
-  return sentFresh + 1 + toCome <= estimateFinalExposureLimit(bounds, own);
+  const completionMs = computeLatestCompletionMs(durationMs);
+  const untilCompletionMs = Math.max(0, completionMs - elapsedMs);
+  const afterCompletionMs = durationMs - completionMs;
+  const callsAfterCompletion = callsPerMs * afterCompletionMs * SURGE_FACTOR;
+  const expectedCalls = freshPerMs * untilCompletionMs + callsAfterCompletion;
+  return (
+    sentFresh + 1 + expectedCalls <= estimateFinalExposureLimit(bounds, own)
+  );
 }
--- a/packages/decisions/src/calls/choose_canary_runners.test.ts
+++ b/packages/decisions/src/calls/choose_canary_runners.test.ts
@@ -12,19 +12,21 @@
   }));
 }
 
-void test('calls of a watched version fill one runner up to the usual load before the next one gets any', () => {
+void test('calls of a canary version fill one runner up to the usual load before the next one gets any', () => {
   const fresh = runners('new', [0, 0, 0, 0]);
   const old = runners('old', [30, 34]);
-  const seen: number[] = [];
+  const loadedCounts: number[] = [];
   for (let i = 0; i < 64; i++) {
-    const some = chooseCanaryRunners({fresh, old});
-    assert.equal(some.length, 1);
-    some[0].totalRunning += 1;
-    seen.push(fresh.filter(({totalRunning}) => totalRunning > 0).length);
+    const chosen = chooseCanaryRunners({fresh, old});
+    assert.equal(chosen.length, 1);
+    chosen[0].totalRunning += 1;
+    loadedCounts.push(
+      fresh.filter(({totalRunning}) => totalRunning > 0).length,
+    );
   }
-  assert.equal(seen[31], 1);
-  assert.equal(seen[32], 2);
-  assert.equal(seen[63], 2);
+  assert.equal(loadedCounts[31], 1);
+  assert.equal(loadedCounts[32], 2);
+  assert.equal(loadedCounts[63], 2);
 });
 
 void test('all hosts take the runners in the same order', () => {
@@ -35,7 +37,7 @@
   assert.equal(first.id, again.id);
 });
 
-void test('while the old runners have little to do, calls go to all runners of a watched version', () => {
+void test('while the old runners have little load, calls go to all runners of a canary version', () => {
   const fresh = runners('new', [0, 0, 0, 0]);
   const old = runners('old', [7, 9]);
   assert.deepEqual(chooseCanaryRunners({fresh, old}), fresh);
--- a/packages/decisions/src/calls/choose_canary_runners.ts
+++ b/packages/decisions/src/calls/choose_canary_runners.ts
@@ -1,38 +1,44 @@
 import {hashToUint32} from './hash_to_uint32.js';
 import {combineHashes} from './combine_hashes.js';
 
-/** A runner as far as its load matters. */
+/** A runner with its load. */
 interface LoadedRunner {
   readonly id: string;
-  /** Requests that run there. */
+  /** Requests that are running there. */
   readonly totalRunning: number;
-  /** Requests that can run there at once. */
+  /** Requests that can run there at the same time. */
   readonly slots: number;
 }
 
 interface Options<T extends LoadedRunner> {
-  /** Runners of the new version, one at least. */
+  /** Runners of the new version; at least one. */
   readonly fresh: readonly T[];
-  /** Runners of the old one. */
+  /** Runners of the old version. */
   readonly old: readonly T[];
 }
 
-/** Part of its slots from which a runner counts as loaded: below, a fault that needs load would not show anyway. */
+/**
+ * Share of slots in use from which a runner counts as loaded; below that, a fault that needs load
+ * would not show up anyway.
+ */
 const LOADED_PART = 0.25;
 
 /**
- * The runners of a version that is watched among which a call may choose. The few calls that it gets would leave each runner with
- * a twentieth of the load that it bears once all calls move, and what breaks under load would show only then; so they go to
- * the first runner that has less than the old ones usually have, in an order that all hosts share.
+ * Chooses the runners of a version in its canary phase among which a call is placed. Spread over
+ * all runners, the few canary calls would give each a twentieth of the load that it bears after the
+ * shift, and faults under load would show up only then. So calls go to the first runner with less
+ * load than the old ones have on average, in an order that all hosts share.
  */
 export function chooseCanaryRunners<T extends LoadedRunner>({
   fresh,
   old,
 }: Options<T>): readonly T[] {
-  const usual = meanOf(old.map(({totalRunning}) => totalRunning));
-  const slots = meanOf(old.map(runner => runner.slots));
-  if (usual < slots * LOADED_PART) return fresh;
-  const first = rank(fresh).find(({totalRunning}) => totalRunning < usual);
+  const meanRunning = meanOf(old.map(({totalRunning}) => totalRunning));
+  const meanSlots = meanOf(old.map(runner => runner.slots));
+  if (meanRunning < meanSlots * LOADED_PART) return fresh;
+  const first = rank(fresh).find(
+    ({totalRunning}) => totalRunning < meanRunning,
+  );
   return first ? [first] : fresh;
 }
 
--- a/packages/decisions/src/calls/choose_service.test.ts
+++ b/packages/decisions/src/calls/choose_service.test.ts
@@ -3,7 +3,7 @@
 import {chooseService} from './choose_service.js';
 import {sampleRoute} from './testing/sample_route.js';
 
-void test('weights are kept over many keys, and a key keeps its service', () => {
+void test('many keys are distributed by weight, and a key keeps its service', () => {
   const targets = [
     {service: 'nine', weight: 90},
     {service: 'one', weight: 10},
--- a/packages/decisions/src/calls/choose_service.ts
+++ b/packages/decisions/src/calls/choose_service.ts
@@ -1,14 +1,16 @@
 import type {CallRoute} from './call_route.js';
 import {hashToFraction} from './hash_to_fraction.js';
 
-/** The service that takes a call, by the route's weights; the same key gets the same service. */
+/**
+ * Chooses the service for a call by the route's weights; the same key always gets the same service.
+ */
 export function chooseService(route: CallRoute, key: string): string {
   const {targets} = route;
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
-  let rest = hashToFraction(`${route.name}|${key}`) * total;
+  let remaining = hashToFraction(`${route.name}|${key}`) * total;
   for (const target of targets) {
-    rest -= target.weight;
-    if (rest < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return targets[0].service;
 }
--- a/packages/decisions/src/calls/combine_hashes.test.ts
+++ b/packages/decisions/src/calls/combine_hashes.test.ts
@@ -12,7 +12,7 @@
   return names[scores.indexOf(Math.max(...scores))];
 }
 
-void test('each name gets its share of the keys, and keeps them when another one goes', () => {
+void test('each name gets its share of the keys and keeps them when another name is removed', () => {
   const names = Array.from({length: RUNNERS}, (_, i) => hashToUint32(`i-${i}`));
   const keys = Array.from({length: KEYS}, (_, i) => hashToUint32(`part ${i}`));
   const counts = new Map<number, number>();
@@ -23,9 +23,9 @@
   assert.equal(counts.size, RUNNERS);
   assert.ok(Math.max(...counts.values()) < (2 * KEYS) / RUNNERS);
   assert.ok(Math.min(...counts.values()) > KEYS / RUNNERS / 2);
-  const [gone, ...rest] = names;
+  const [removed, ...rest] = names;
   for (const key of keys) {
     const home = homeOf(key, names);
-    if (home !== gone) assert.equal(homeOf(key, rest), home);
+    if (home !== removed) assert.equal(homeOf(key, rest), home);
   }
 });
--- a/packages/decisions/src/calls/combine_hashes.ts
+++ b/packages/decisions/src/calls/combine_hashes.ts
@@ -1,11 +1,12 @@
 import {mixBits} from './mix_bits.js';
 
-/** The golden ratio in 32 bits, by which the name is told from the key. */
+/** The golden ratio in 32 bits; multiplying by it makes the roles of key and name differ. */
 const GOLDEN_RATIO = 0x9e3779b1;
 
 /**
- * 32 bits that are the same for the same two hashes on every host: the score of a name for a key in rendezvous
- * hashing, from the hashes of both, so that a name is hashed once and not for each key.
+ * Combines the hashes of a key and a name to the 32-bit score of the name for the key in rendezvous
+ * hashing. The result is the same on every host, and each name is hashed once instead of once per
+ * key.
  */
 export function combineHashes(key: number, name: number): number {
   return mixBits(key ^ Math.imul(name, GOLDEN_RATIO));
--- a/packages/decisions/src/calls/compute_canary_share.ts
+++ b/packages/decisions/src/calls/compute_canary_share.ts
@@ -3,56 +3,77 @@
 import type {RolloutProgress} from './rollout_progress.js';
 import {computeCanaryLimit} from './compute_canary_limit.js';
 
-/** Time in which the calls that a version may get now are given, in ms: some answers come meanwhile. */
+/**
+ * Period over which the calls that the version may get now are spread, in ms, so that some
+ * responses arrive meanwhile.
+ */
 const SPENDING_PERIOD_MS = 1_000;
-/** Time after the order in which hosts have heard from each other how many calls come, in ms. */
+/** Time after the order by which hosts have told each other their call rates, in ms. */
 const RATE_EXCHANGE_MS = 2_000;
-/** The share until then: some ten calls come within a second at any rate at which more could harm many callers. */
+/**
+ * Share until then: about ten calls in a second at any rate at which a higher share could harm many
+ * callers.
+ */
 const INITIAL_SHARE = 0.08;
-/** Part of what is allowed in all that is used to watch it, with room for calls that come faster. */
+/**
+ * Part of the exposure limit that is used in the canary phase, with a margin for a rising call rate.
+ */
 const CANARY_PART = 0.4;
-/** Shares are steps, so that hosts that know nearly the same put a session on the same version. */
+/**
+ * Lowest share. Shares are quantized to steps so that hosts with nearly the same information send a
+ * session to the same version.
+ */
 const MIN_SHARE = 0.02;
+/** Ratio between two steps. */
 const STEP_FACTOR = 1.5;
-/** Answers by which a version of which every fifth answer is bad is told from a good one. */
-const WANTED_GOOD_ANSWERS = 40;
-/** Part of the time limit by which they are wanted. */
+/** Responses needed to distinguish a version with every fifth response bad from a good one. */
+const WANTED_GOOD_RESPONSES = 40;
+/** Part of the time limit by which these responses are wanted. */
 const WANTED_BY_PART = 0.88;
-/** The share that is enough once they are there; what is left of the limit moves all calls later. */
+/**
+ * Share that suffices once they have arrived; the rest of the limit is kept for shifting all calls
+ * later.
+ */
 const SUSTAINED_SHARE = 0.07;
-/** The largest share at any rate: the old version has to be seen beside the new one. */
+/** Highest share: the old version has to be observed alongside the new one. */
 const MAX_SHARE = 0.5;
 
-/** The share of calls, 0 to 1, that gives the new version by and by what it may get while it is watched. */
+/** Share of calls, 0 to 1, with which the new version gradually uses its canary limit. */
 export function computeCanaryShare(
   bounds: ExposureBounds,
-  facts: RolloutProgress,
+  progress: RolloutProgress,
 ): number {
-  const {callsPerMs, durationMs, elapsedMs, sentFresh, goodFresh} = facts;
+  const {callsPerMs, durationMs, elapsedMs, sentFresh, goodFresh} = progress;
   if (elapsedMs < RATE_EXCHANGE_MS) return INITIAL_SHARE;
-  const left = computeCanaryLimit(bounds, facts) - sentFresh;
-  const toCome = callsPerMs * SPENDING_PERIOD_MS;
-  const watchedForMs = Math.max(1, durationMs * WANTED_BY_PART - elapsedMs);
-  const lacking = Math.max(0, WANTED_GOOD_ANSWERS - goodFresh);
-  const wanted = lacking / (callsPerMs * watchedForMs);
-  const wished = Math.min(left / toCome, Math.max(SUSTAINED_SHARE, wanted));
-  const lasting = computeSustainableShare(bounds, facts);
-  return roundDownToStep(Math.min(MAX_SHARE, wished, lasting));
+  const remainingCalls = computeCanaryLimit(bounds, progress) - sentFresh;
+  const expectedCalls = callsPerMs * SPENDING_PERIOD_MS;
+  const remainingMs = Math.max(1, durationMs * WANTED_BY_PART - elapsedMs);
+  const missingResponses = Math.max(0, WANTED_GOOD_RESPONSES - goodFresh);
+  const wantedShare = missingResponses / (callsPerMs * remainingMs);
+  const evidenceShare = Math.min(
+    remainingCalls / expectedCalls,
+    Math.max(SUSTAINED_SHARE, wantedShare),
+  );
+  const sustainableShare = computeSustainableShare(bounds, progress);
+  return roundDownToStep(Math.min(MAX_SHARE, evidenceShare, sustainableShare));
 }
 
-/** The share that it may have up to the limit without getting more than it may have while it is watched. */
+/**
+ * The share that the version can have up to the time limit within the part of the limit for the
+ * canary phase.
+ */
 function computeSustainableShare(
   bounds: ExposureBounds,
-  facts: RolloutProgress,
+  progress: RolloutProgress,
 ): number {
-  const {callsPerMs, durationMs, elapsedMs, sentFresh} = facts;
-  const left =
-    estimateFinalExposureLimit(bounds, facts) * CANARY_PART - sentFresh;
-  const toCome = callsPerMs * Math.max(1, durationMs - elapsedMs);
-  return Math.max(0, left) / toCome;
+  const {callsPerMs, durationMs, elapsedMs, sentFresh} = progress;
+  const remainingCalls =
+    estimateFinalExposureLimit(bounds, progress) * CANARY_PART - sentFresh;
+  const expectedCalls = callsPerMs * Math.max(1, durationMs - elapsedMs);
+  return Math.max(0, remainingCalls) / expectedCalls;
 }
 
-/** The highest step that is not over a share; the lowest one at least. */
+/** The highest step not above a share; the lowest step at least. */
 function roundDownToStep(share: number): number {
   if (!(share > MIN_SHARE)) return MIN_SHARE;
   const steps = Math.log(share / MIN_SHARE) / Math.log(STEP_FACTOR);
--- a/packages/decisions/src/calls/compute_cold_runner_share.test.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.test.ts
@@ -1,5 +1,5 @@
-// A place came back cold, and 65 hosts that each saw idle runners sent up to 27 requests in a second to runners that were
-// to get 24.5 at most. No host may ask the others first, so the sum has to be bounded by what each does alone.
+// When a place came back cold, 65 hosts that each saw idle runners sent up to 27 requests in a second to runners that were to
+// get 24.5 at most. Hosts cannot ask each other first, so each one's own share has to bound the sum.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
@@ -19,14 +19,14 @@
   );
 }
 
-void test('the sum over all hosts is bounded by what a runner bears, and uses most of it', () => {
+void test('the sum over all hosts stays within the rate of a runner and uses most of it', () => {
   for (const count of [1, 2, 3, 5, 7, 22, 65, 195]) {
     const sum = sumOf('i-1', nameHosts(count));
     assert.ok(sum <= 13 && sum >= 9, `${count} hosts: ${sum}`);
   }
 });
 
-void test('hosts that know different hosts stay within the bound of the platform together', () => {
+void test('hosts with different views of the membership stay within the bound of the platform together', () => {
   const some = fc.uniqueArray(fc.nat(200), {minLength: 1, maxLength: 100});
   const bounds = fc.record({
     perSecond: fc.double({min: 1, max: 100, noNaN: true}),
@@ -44,7 +44,7 @@
   );
 });
 
-void test('each of many cold runners has hosts that send, and each host has runners to send to', () => {
+void test('each of many cold runners gets calls from some host, and nearly every host has a runner to send to', () => {
   const hosts = nameHosts(22);
   const runners = Array.from({length: 26}, (_, i) => `i-${i}`);
   const shareOf = (runner: string, host: string) =>
--- a/packages/decisions/src/calls/compute_cold_runner_share.ts
+++ b/packages/decisions/src/calls/compute_cold_runner_share.ts
@@ -6,18 +6,18 @@
 interface Options {
   /** The runner's id. */
   readonly runner: string;
-  /** The host that asks. */
+  /** The name of this host. */
   readonly host: string;
-  /** Names of the hosts that may send there, this one included. */
+  /** Names of the hosts that may send calls to the runner, including this one. */
   readonly hosts: readonly string[];
   readonly limits: Omit<RunnerRateLimit, 'windowMs'>;
 }
 
-/** Calls a second with which a connection to a cold runner is of use to a host. */
+/** Minimum calls per second with which a connection to a cold runner is useful to a host. */
 const MIN_USEFUL_CALLS = 3;
 const WINDOW_MS = 1_000;
 
-/** How many calls a host may send to a cold runner within a second. */
+/** Computes how many calls a host may send to a cold runner within a second. */
 export function computeColdRunnerShare({
   runner,
   host,
--- a/packages/decisions/src/calls/compute_exposure_limit.ts
+++ b/packages/decisions/src/calls/compute_exposure_limit.ts
@@ -1,14 +1,15 @@
 import type {ExposureBounds} from './exposure_bounds.js';
 
 /**
- * Part of the calls allowed besides that is used. The rest is for what hosts give before they hear of each other, and
- * for a place that is cut off, whose hosts count for themselves.
+ * Part of the fixed allowance that is used. The rest covers calls that hosts send before they hear
+ * from each other, and a partitioned place whose hosts count on their own.
  */
 const USED_FIXED_CALLS_PART = 0.7;
 
 /**
- * Calls that the new version may have had, in all, once `sentAll` calls reached the service. As the bound is kept at each
- * moment by what was counted up to it, it also holds where counts are lost: those made since only add to them.
+ * Limit on the total calls to the new version after `sentAll` calls to the service. The bound is
+ * kept at every moment by the calls counted so far, so it also holds if counts are lost: calls made
+ * since then only raise it.
  */
 export function computeExposureLimit(
   {share, calls}: ExposureBounds,
--- a/packages/decisions/src/calls/compute_host_share.test.ts
+++ b/packages/decisions/src/calls/compute_host_share.test.ts
@@ -1,4 +1,5 @@
-// Runners that named what they take from all hosts together got several times that: each host has to know its part without asking.
+// Runners that declared a limit for all hosts together got several times that. Each host has to compute its share without
+// asking the others.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
@@ -18,20 +19,20 @@
   host: string,
   hosts: readonly string[],
   calls: number,
-  leastCalls = 1,
+  minUsefulCalls = 1,
 ): number {
   const rank = rankByHash('i-1', hosts).indexOf(host);
   return computeHostShare({
     calls,
-    minUsefulCalls: leastCalls,
+    minUsefulCalls,
     hosts: hosts.length,
     rank,
   });
 }
 
-function sumOf(hosts: readonly string[], calls: number, leastCalls = 1) {
+function sumOf(hosts: readonly string[], calls: number, minUsefulCalls = 1) {
   return hosts.reduce(
-    (sum, host) => sum + shareOf(host, hosts, calls, leastCalls),
+    (sum, host) => sum + shareOf(host, hosts, calls, minUsefulCalls),
     0,
   );
 }
@@ -40,7 +41,7 @@
   return Array.from({length: count}, (_, i) => `host-${i}`);
 }
 
-void test('all calls are shared out, evenly, whatever the number of hosts', () => {
+void test('all calls are shared evenly, for any number of hosts', () => {
   for (const count of [1, 3, 7, 65, 195])
     for (const calls of [0, 1, 8, 40]) {
       const hosts = nameHosts(count);
@@ -50,18 +51,18 @@
     }
 });
 
-void test('hosts that know any two sets of hosts stay within the bound together', () => {
+void test('hosts with two different views of the membership stay within the bound together', () => {
   fc.assert(
     fc.property(names, names, bounds, (one, two, bound) => {
       const calls = computeWindowQuota(bound);
       const sum = sumOf(one.map(String), calls) + sumOf(two.map(String), calls);
-      const borne = (bound.perSecond * bound.windowMs) / 1_000;
-      assert.ok(sum <= borne * bound.overage + bound.slack + 1e-9);
+      const capacity = (bound.perSecond * bound.windowMs) / 1_000;
+      assert.ok(sum <= capacity * bound.overage + bound.slack + 1e-9);
     }),
   );
 });
 
-void test('hosts that learn of added ones at different times exceed the calls by the added ones alone', () => {
+void test('if hosts learn of added hosts at different times, only the added ones exceed the calls', () => {
   const steps = fc.array(fc.nat(5), {minLength: 1, maxLength: 6});
   const calls = fc.nat(60);
   fc.assert(
@@ -76,7 +77,7 @@
         let known = 0;
         let added = 0;
         all.forEach((host, index) => {
-          // Each host knows one of the sets that it is in.
+          // Each host knows one of the sets that contain it.
           const fitting = sizes.filter(size => size > index);
           const size = fitting[index % fitting.length];
           const share = shareOf(host, all.slice(0, size), n);
--- a/packages/decisions/src/calls/cordon_order.ts
+++ b/packages/decisions/src/calls/cordon_order.ts
@@ -1,6 +1,6 @@
-/** What operators ask of a place: whether its runners are to get no new calls. */
+/** An operator's order on whether the runners of a place get new calls. */
 export interface CordonOrder {
   readonly place: string;
-  /** False once the order was taken away. */
+  /** Whether they get none; false after the order was withdrawn. */
   readonly isCordoned: boolean;
 }
--- a/packages/decisions/src/calls/engine_profile.ts
+++ b/packages/decisions/src/calls/engine_profile.ts
@@ -1,9 +1,9 @@
-/** What the configuration tells of a service's model engines. */
+/** Configured properties of a service's model engines. */
 export interface EngineProfile {
-  /** Requests that run at once on a runner. */
+  /** Requests that a runner processes at the same time. */
   readonly slots: number;
-  /** Tokens that fit into a runner's memory. */
+  /** Tokens that fit into the memory of a runner. */
   readonly memoryTokens: number;
-  /** What 1,000 tokens made cost, by model; tokens read count a quarter. */
+  /** Cost of 1,000 generated tokens, by model; a prompt token counts a quarter. */
   readonly costs: ReadonlyMap<string, number>;
 }
--- a/packages/decisions/src/calls/estimate_failure_rate.ts
+++ b/packages/decisions/src/calls/estimate_failure_rate.ts
@@ -1,9 +1,9 @@
-/** A share of failures that is taken as possible on a sound version without any history. */
+/** Failure rate assumed for a sound version without any history. */
 const PRIOR_FAILURE_RATE = 0.02;
-/** Weight of that share, in answers. */
+/** Weight of the prior, in responses. */
 const PRIOR_WEIGHT = 20;
 
-/** The share of failures, 0 to 1, to be expected of a version after some of its answers. */
+/** Estimates the failure rate of a version, 0 to 1, from its outcomes so far and a prior. */
 export function estimateFailureRate(failed: number, ended: number): number {
   return (failed + PRIOR_FAILURE_RATE * PRIOR_WEIGHT) / (ended + PRIOR_WEIGHT);
 }
--- a/packages/decisions/src/calls/evaluate_version.ts
+++ b/packages/decisions/src/calls/evaluate_version.ts
@@ -6,21 +6,29 @@
   readonly old: VersionOutcomes;
 }
 
-/** Answers of the new version before it is judged at all. */
+/** Responses of the new version required for a verdict. */
 const MIN_ENDED = 8;
-/** Failures of the new version before it is judged bad; a few may be the network's. */
-const MIN_BAD_ANSWERS = 5;
 /**
- * How many standard deviations over the old version's share are taken as a difference: the question is
- * asked after every answer and for each route, so chance has many tries.
+ * Failed or slow responses required to find the new version bad; a few may be caused by the
+ * network.
+ */
+const MIN_BAD_RESPONSES = 5;
+/**
+ * Standard deviations above the rate of the old version that count as a difference. The test is
+ * repeated after every response and for each route, so chance gets many tries.
  */
 const MAX_DEVIATIONS = 4.5;
-/** Least share of sound answers that the deviation is computed with, so that it is never 0. */
+/**
+ * Lower bound of the success rate that the deviation is computed with, so that the deviation is
+ * never 0.
+ */
 const MIN_SUCCESS_RATE = 0.05;
 
 /**
- * Whether a new version is worse than the old one: more failures or more slow answers than chance
- * explains at the old version's share of them.
+ * Whether a new version is worse than the old one: more failed or slow responses than chance
+ * explains at the rate of the old version.
+ *
+ * @returns `open` as long as there is no verdict
  */
 export function evaluateVersion({fresh, old}: Options): 'bad' | 'open' {
   if (fresh.ended < MIN_ENDED) return 'open';
@@ -35,9 +43,9 @@
   oldBad: number,
   oldEnded: number,
 ): boolean {
-  if (bad < MIN_BAD_ANSWERS) return false;
-  const share = estimateFailureRate(oldBad, oldEnded);
-  const expected = share * ended;
-  const deviation = Math.sqrt(expected * Math.max(MIN_SUCCESS_RATE, 1 - share));
+  if (bad < MIN_BAD_RESPONSES) return false;
+  const rate = estimateFailureRate(oldBad, oldEnded);
+  const expected = rate * ended;
+  const deviation = Math.sqrt(expected * Math.max(MIN_SUCCESS_RATE, 1 - rate));
   return bad > expected + MAX_DEVIATIONS * deviation;
 }
--- a/packages/decisions/src/calls/event_splitter.test.ts
+++ b/packages/decisions/src/calls/event_splitter.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {EventSplitter} from './event_splitter.js';
 
-void test('events come out whole, however their bytes are cut', () => {
+void test('events are returned whole, wherever the chunks are split', () => {
   const text =
     'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\nda';
   for (const size of [1, 2, 3, 7, 100]) {
--- a/packages/decisions/src/calls/event_splitter.ts
+++ b/packages/decisions/src/calls/event_splitter.ts
@@ -1,32 +1,31 @@
 import type {StreamEvent} from './stream_event.js';
 
-/** The bytes that end a line. */
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Bytes of one unfinished event before the answer is taken as spoiled. */
+/** Maximum size of an unfinished event; a larger one makes the response invalid. */
 const MAX_EVENT_BYTES = 1_048_576;
 
 /**
- * Cuts the bytes of an event stream behind each whole event. Bytes of an unfinished event are kept
- * back, so that a caller never sees half of one.
+ * Splits the bytes of an event stream after each complete event. Bytes of an unfinished event are
+ * buffered, so that a caller never receives part of one.
  */
 export class EventSplitter {
   private pending: Buffer = Buffer.alloc(0);
-  /** Where the last line of the rest starts; what stands before was looked at. */
+  /** Start of the last line in the pending bytes; everything before it has been scanned. */
   private pendingLineStart = 0;
 
-  /** Bytes of an event that has not ended yet. */
+  /** Number of buffered bytes of an unfinished event. */
   get pendingBytes(): number {
     return this.pending.length;
   }
 
-  /** Whether an event is larger than what is kept for one. */
+  /** Whether the unfinished event exceeds the maximum size. */
   get isOversized(): boolean {
     return this.pending.length > MAX_EVENT_BYTES;
   }
 
-  /** The whole events that these bytes complete, in order. */
+  /** Adds bytes and returns the events that they complete, in order. */
   push(chunk: Buffer): StreamEvent[] {
     const bytes =
       this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
--- a/packages/decisions/src/calls/exposure_bounds.ts
+++ b/packages/decisions/src/calls/exposure_bounds.ts
@@ -1,7 +1,10 @@
-/** How much of a service's calls a new version may get until the time limit of its roll-out, good or not. */
+/**
+ * How many of a service's calls a new version may get until the time limit of its rollout, whether
+ * it is good or bad.
+ */
 export interface ExposureBounds {
-  /** Part of the calls that reach the service from the order to the limit, 0 to 1. */
+  /** Share of the calls that reach the service between the order and the limit, 0 to 1. */
   readonly share: number;
-  /** Calls besides. */
+  /** Fixed allowance of calls on top of the share. */
   readonly calls: number;
 }
--- a/packages/decisions/src/calls/fingerprint_request.test.ts
+++ b/packages/decisions/src/calls/fingerprint_request.test.ts
@@ -11,7 +11,7 @@
   body: Buffer.from('a question'),
 };
 
-void test('each part of what is asked, and who asks, tells requests apart', () => {
+void test('every part of the content, and the workspace, changes the fingerprint', () => {
   const others = [
     {...CONTENT, method: 'PUT'},
     {...CONTENT, hostName: 'other.example'},
@@ -22,24 +22,24 @@
     {...CONTENT, body: Buffer.from('a question ')},
     {...CONTENT, body: Buffer.alloc(0)},
   ];
-  const prints = [CONTENT, ...others].map(fingerprintRequest);
-  assert.equal(new Set(prints).size, prints.length);
+  const fingerprints = [CONTENT, ...others].map(fingerprintRequest);
+  assert.equal(new Set(fingerprints).size, fingerprints.length);
 });
 
-void test('the same bytes have the same print, wherever they lie in memory', () => {
+void test('the same bytes have the same fingerprint at any offset in memory', () => {
   const asBytes = fc.uint8Array({maxLength: 60});
   fc.assert(
     fc.property(asBytes, fc.nat(9), (bytes, offset) => {
       const moved = Buffer.concat([Buffer.alloc(offset), bytes]);
       const body = moved.subarray(offset);
-      const print = fingerprintRequest({...CONTENT, body: bytes});
-      assert.equal(fingerprintRequest({...CONTENT, body}), print);
-      assert.match(print, /^[0-9a-f]{16}$/);
+      const fingerprint = fingerprintRequest({...CONTENT, body: bytes});
+      assert.equal(fingerprintRequest({...CONTENT, body}), fingerprint);
+      assert.match(fingerprint, /^[0-9a-f]{16}$/);
     }),
   );
 });
 
-void test('bodies that differ in one bit have different prints', () => {
+void test('bodies that differ in one bit have different fingerprints', () => {
   const asBytes = fc.uint8Array({minLength: 1, maxLength: 60});
   fc.assert(
     fc.property(asBytes, fc.nat(), fc.nat(7), (bytes, place, bit) => {
--- a/packages/decisions/src/calls/fingerprint_request.ts
+++ b/packages/decisions/src/calls/fingerprint_request.ts
@@ -1,25 +1,26 @@
 import {hashToUint32} from './hash_to_uint32.js';
 import {combineHashes} from './combine_hashes.js';
 
-/** What makes two requests the same to a runner, whatever ids they carry. */
+/** What makes two requests the same to a runner, whatever their ids. */
 interface RequestContent {
   readonly method: string;
   readonly hostName: string;
-  /** The request target, query included. */
+  /** The request target, including the query. */
   readonly path: string;
-  /** Whose key the request came with; absent on public routes without one. */
+  /** Workspace of the API key; absent on public routes without a key. */
   readonly workspace?: string;
   readonly body: Uint8Array;
 }
 
-/** Bytes that are hashed in one step. */
+/** Bytes hashed per step. */
 const WORD_BYTES = 4;
-/** Start values of the two halves, so that they differ on the same input. */
+/** Seeds of the two halves, so that they differ for the same input. */
 const HASH_SEEDS = [0x51ed270b, 0xb5297a4d] as const;
 
 /**
- * Names a request by what it asks and who asks: 64 bits in hex, the same on every host and for each repeat of the
- * request. The workspace is part of it, so that nobody can write a request that passes for another one's.
+ * Fingerprints a request by its content and its workspace: 64 bits in hex, the same on every host
+ * and for each retry. The workspace is included so that nobody can write a request that has the
+ * fingerprint of another workspace's request.
  */
 export function fingerprintRequest(content: RequestContent): string {
   const {method, hostName, path, workspace = '', body} = content;
@@ -27,7 +28,10 @@
   return HASH_SEEDS.map(seed => toHex(hashBytes(body, seed ^ head))).join('');
 }
 
-/** 32 bits of a body, a word a step. Both halves take 55 us for 1 KB and 5.2 ms for 100 KB (means, code not optimized). */
+/**
+ * Hashes a body to 32 bits, one word per step. Both halves take 55 us for 1 KB and 5.2 ms for 100
+ * KB (means, code not optimized).
+ */
 function hashBytes(bytes: Uint8Array, seed: number): number {
   const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const words = bytes.byteLength - (bytes.byteLength % WORD_BYTES);
--- a/packages/decisions/src/calls/hash_to_fraction.ts
+++ b/packages/decisions/src/calls/hash_to_fraction.ts
@@ -1,9 +1,9 @@
 import {hashToUint32} from './hash_to_uint32.js';
 
-/** How many values 32 bits have. */
+/** Number of 32-bit values. */
 const UINT32_RANGE = 2 ** 32;
 
-/** A number in [0, 1) that is the same for the same text on every host. */
+/** Hashes a text to a number in [0, 1); the same on every host. */
 export function hashToFraction(text: string): number {
   return hashToUint32(text) / UINT32_RANGE;
 }
--- a/packages/decisions/src/calls/index.ts
+++ b/packages/decisions/src/calls/index.ts
@@ -1,4 +1,4 @@
-/** The decisions on routed calls: pure logic without I/O. */
+/** Decision logic for routed calls: pure functions and classes without I/O. */
 export type {CascadeDecision} from './cascade_decision.js';
 export type {CallConfiguration} from './call_configuration.js';
 export {CallKind} from './call_kind.js';
--- a/packages/decisions/src/calls/intersect_regions.ts
+++ b/packages/decisions/src/calls/intersect_regions.ts
@@ -1,7 +1,8 @@
 /**
- * Regions in which the data of a call may be, where its route and its workspace each allow some.
+ * Intersects the regions in which a route and a workspace each allow the data of a call to be
+ * processed.
  *
- * @returns undefined if neither bounds them; an empty list if no region is allowed by both
+ * @returns undefined if neither restricts them; an empty list if no region is allowed by both
  */
 export function intersectRegions(
   ofRoute: readonly string[] | undefined,
--- a/packages/decisions/src/calls/is_recently_worse.ts
+++ b/packages/decisions/src/calls/is_recently_worse.ts
@@ -2,20 +2,23 @@
 import type {VersionOutcomes} from './version_outcomes.js';
 
 interface Options {
-  /** What the new version answered lately. */
+  /** Recent outcomes of the new version. */
   readonly fresh: VersionOutcomes;
-  /** All that the old version answered. */
+  /** All outcomes of the old version. */
   readonly old: VersionOutcomes;
 }
 
-/** Bad answers that are no chance of one connection or runner. */
-const MIN_BAD_ANSWERS = 3;
-/** How much larger their share is than the old version's: of a bad version every fifth answer is bad, or more. */
+/** Bad responses that are unlikely to come from a single connection or runner. */
+const MIN_BAD_RESPONSES = 3;
+/**
+ * Tolerated excess over the rate of the old version. A bad version has at least every fifth
+ * response bad.
+ */
 const MAX_EXCESS_RATE = 0.1;
 
 /**
- * Whether the new version has begun to fail, or to be slow, more than the old one. No verdict: it only delays what cannot be
- * taken back, so a few answers are enough.
+ * Whether the new version has begun to fail, or to be slow, more often than the old one. This is
+ * not a verdict: it only delays steps that cannot be undone, so a few responses are enough.
  */
 export function isRecentlyWorse({fresh, old}: Options): boolean {
   return (
@@ -30,6 +33,6 @@
   oldBad: number,
   oldEnded: number,
 ): boolean {
-  if (bad < MIN_BAD_ANSWERS) return false;
+  if (bad < MIN_BAD_RESPONSES) return false;
   return bad / ended - estimateFailureRate(oldBad, oldEnded) > MAX_EXCESS_RATE;
 }
--- a/packages/decisions/src/calls/is_streamed.ts
+++ b/packages/decisions/src/calls/is_streamed.ts
@@ -1,6 +1,6 @@
 import {CallKind} from './call_kind.js';
 
-/** Whether the answer to a call of this kind is a series of events. */
+/** Whether the response to a call of this kind is a stream of events. */
 export function isStreamed(kind: CallKind): boolean {
   return kind === CallKind.STREAM || kind === CallKind.RESUMABLE;
 }
--- a/packages/decisions/src/calls/is_version_suspect.test.ts
+++ b/packages/decisions/src/calls/is_version_suspect.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {isVersionSuspect} from './is_version_suspect.js';
 
-void test('a version is suspect once it seems to fail far more than the old one', () => {
+void test('a version is suspect once it seems to fail much more often than the old one', () => {
   const none = {ended: 0, failed: 0, slow: 0};
   const old = {ended: 300, failed: 3, slow: 0};
   const isSuspect = (ended: number, failed: number, before = old) =>
@@ -11,6 +11,6 @@
   assert.equal(isSuspect(10, 3), true);
   assert.equal(isSuspect(100, 5), false);
   assert.equal(isSuspect(100, 20), true);
-  const common = {ended: 300, failed: 45, slow: 0};
-  assert.equal(isSuspect(100, 20, common), false);
+  const unreliable = {ended: 300, failed: 45, slow: 0};
+  assert.equal(isSuspect(100, 20, unreliable), false);
 });
--- a/packages/decisions/src/calls/is_version_suspect.ts
+++ b/packages/decisions/src/calls/is_version_suspect.ts
@@ -7,15 +7,19 @@
 }
 
 /**
- * How much more likely a failure of the new version may be, as a difference of shares, before a call that
- * failed there is better off with the old one. Three failed answers of ten and few of the old version reach
- * it; one failed answer alone never does, nor do failures that both versions have.
+ * Tolerated difference between the failure rates of the two versions before a call that failed on
+ * the new version is better retried on the old one. Three failed responses of ten exceed it if few
+ * of the old version failed. A single failed response never does, nor do failures that both
+ * versions have.
  */
 const MAX_EXCESS_RATE = 0.1;
 
-/** Whether a new version seems to fail so much more than the old one that a failed call should leave it. */
+/**
+ * Whether a new version seems to fail so much more often than the old one that a failed call should
+ * be retried on the old one.
+ */
 export function isVersionSuspect({fresh, old}: Options): boolean {
-  const freshShare = estimateFailureRate(fresh.failed, fresh.ended);
-  const oldShare = estimateFailureRate(old.failed, old.ended);
-  return freshShare - oldShare > MAX_EXCESS_RATE;
+  const freshRate = estimateFailureRate(fresh.failed, fresh.ended);
+  const oldRate = estimateFailureRate(old.failed, old.ended);
+  return freshRate - oldRate > MAX_EXCESS_RATE;
 }
--- a/packages/decisions/src/calls/largest_model_forecast.ts
+++ b/packages/decisions/src/calls/largest_model_forecast.ts
@@ -1,9 +1,12 @@
-/** What asking the largest model would mean now. */
+/** Forecast of asking the largest model now. */
 export interface LargestModelForecast {
   /** Expected time to its first event, in ms. */
   readonly expectedMs: number;
-  /** Engine time that reading the prompt takes, in ms. */
+  /** Engine time for processing the prompt, in ms. */
   readonly workMs: number;
-  /** Reading that waits at a runner on average, over the service's shortest latency target. */
+  /**
+   * Mean prompt processing time queued at a runner, over the shortest latency target of the
+   * service.
+   */
   readonly pressure: number;
 }
--- a/packages/decisions/src/calls/mix_bits.ts
+++ b/packages/decisions/src/calls/mix_bits.ts
@@ -1,8 +1,11 @@
-/** Factors of the final mix of MurmurHash3. */
+/** Multipliers of the MurmurHash3 finalizer. */
 const MIX_A = 0x85ebca6b;
 const MIX_B = 0xc2b2ae35;
 
-/** Spreads each bit of a number over all 32 of the result, which is not negative (final mix of MurmurHash3). */
+/**
+ * Mixes each bit of a number into all 32 bits of the result, which is not negative (MurmurHash3
+ * finalizer).
+ */
 export function mixBits(bits: number): number {
   let mixed = Math.imul(bits ^ (bits >>> 16), MIX_A);
   mixed = Math.imul(mixed ^ (mixed >>> 13), MIX_B);
--- a/packages/decisions/src/calls/model_cascade.test.ts
+++ b/packages/decisions/src/calls/model_cascade.test.ts
@@ -14,7 +14,7 @@
   largest: calm,
 };
 
-void test('in calm times an answer has to be probably good to be used', () => {
+void test('without load an answer is used only if it is probably good', () => {
   const rule = new ModelCascade();
   assert.equal(rule.evaluateAnswer({...answer, confidence: 40}).isUsed, false);
   assert.equal(rule.evaluateAnswer({...answer, confidence: 50}).isUsed, false);
@@ -24,7 +24,7 @@
   assert.equal(rule.evaluateAnswer(last).isUsed, true);
 });
 
-void test('the more reading waits at the runners, the less good an answer has to be', () => {
+void test('the more prompt processing is queued at the runners, the lower the required confidence', () => {
   const rule = new ModelCascade();
   const unsure = {...answer, confidence: 45};
   const loaded = {...calm, workMs: 400, pressure: 0.8};
@@ -34,7 +34,7 @@
   assert.equal(rule.evaluateAnswer({...unsure, largest: short}).isUsed, false);
 });
 
-void test('no answer is dropped for one that would be late', () => {
+void test('no answer is discarded for one that would be late', () => {
   const rule = new ModelCascade();
   const late = {...calm, expectedMs: 4_000};
   assert.equal(
@@ -43,7 +43,7 @@
   );
 });
 
-void test('a route whose small answers are never used starts with the largest model', () => {
+void test('a route on which answers of the small model are never used starts with the largest model', () => {
   const rule = new ModelCascade();
   for (let i = 0; i < 100; i++) rule.evaluateAnswer({...answer, confidence: 0});
   const starts = Array.from({length: 100}, () => rule.chooseFirstModel(route));
@@ -51,7 +51,7 @@
   assert.ok(starts.includes('small'));
 });
 
-void test('the noise of opinions is learned from pairs, cut ones left out', () => {
+void test('the noise of confidences is learned from pairs, without clipped ones', () => {
   const random = new SeededRandom(3);
   const scale = new ConfidenceCalibration();
   const before = scale.probabilityGood(60);
@@ -61,7 +61,7 @@
     const clip = (value: number) => Math.min(100, Math.max(0, value));
     scale.recordPair(clip(30 + ease + noise()), clip(70 + ease + noise()));
   }
-  // Even noise over 20 points has a standard deviation of 20 / sqrt(12).
+  // Uniform noise over 20 points has a standard deviation of 20 / sqrt(12).
   assert.ok(
     Math.abs(scale.noiseDeviation - 5.8) < 1.5,
     `${scale.noiseDeviation}`,
--- a/packages/decisions/src/calls/model_cascade.ts
+++ b/packages/decisions/src/calls/model_cascade.ts
@@ -6,69 +6,84 @@
 interface CandidateAnswer {
   readonly route: CallRoute;
   readonly model: string;
-  /** The model's opinion of its answer, 0 to 100; absent counts as good. */
+  /** The model's confidence in its answer, 0 to 100; the answer counts as good if it is absent. */
   readonly confidence?: number;
-  /** Tokens of the prompt. */
+  /** Prompt length in tokens. */
   readonly tokens: number;
-  /** Time since the request was taken, in ms. */
+  /** Time since the request was accepted, in ms. */
   readonly elapsedMs: number;
   readonly largest: LargestModelForecast;
 }
 
-/** What is at stake for a request. */
 interface RequestValue {
   readonly latencyTargetMs: number;
-  /** What is left of the latency target, in ms; negative if it is over. */
+  /** Time left of the latency target, in ms; negative after it. */
   readonly remainingMs: number;
-  /** Worth of its answer over that to a mean prompt. */
+  /** Worth of an answer relative to that for a mean prompt. */
   readonly promptWorth: number;
 }
 
-/** Worth of an answer that is not good; users' sheets call it a small part. */
+/**
+ * Worth of an answer that is not good; users' value tables make it a small part of the full worth.
+ */
 const POOR_ANSWER_WORTH = 0.05;
-/** Worth of an answer after its latency target: 0.3 on most sheets, 0.5 on some. */
+/** Worth of an answer after its latency target: 0.3 in most value tables, 0.5 in some. */
 const LATE_ANSWER_WORTH = 0.3;
-/** Price of the largest model's answer: 0.11 to 0.17 of the worth on the users' sheets. */
+/** Price of an answer of the largest model: 0.11 to 0.17 of the worth in users' value tables. */
 const LARGEST_MODEL_PRICE = 0.13;
-/** How steeply the chance to be in time falls around the target; times are known to a half or so. */
+/**
+ * How steeply the probability of being in time falls around the target; times are known to within
+ * about a half.
+ */
 const TIME_STEEPNESS = 4;
 /**
- * What the others lose by engine time of one latency target at a pressure of 1, in worths of an answer.
- * In trials 0 lost 0.077 of a day's worth against 3, and 2.5 to 7 were alike; see
- * docs/design/deciding-well.md.
+ * Loss of other requests per engine time of one latency target at a pressure of 1, in worths of an
+ * answer. In trials 0 lost 0.077 of a day's worth compared with 3, and values from 2.5 to 7
+ * performed alike; see docs/design/deciding-well.md.
  */
 const LOAD_COST = 4;
 
-/** Part of an answer's worth that does not grow with its prompt, and the most that it grows to. */
+/** Part of an answer's worth that does not grow with its prompt. */
 const FIXED_PROMPT_WORTH = 0.3;
+/** Upper bound of an answer's worth relative to that for a mean prompt. */
 const MAX_PROMPT_WORTH = 4;
 
-/** Weight of one answer in the learned share of small answers that are used. */
+/**
+ * Weight of one answer in the learned averages: the pass rate of small answers and the mean prompt
+ * length.
+ */
 const LEARNING_RATE = 0.03;
-/** Share of used small answers under which starting small does not pay: its reading is wasted. */
+/**
+ * Pass rate of small answers below which starting with the small model does not pay, as its prompt
+ * processing is wasted.
+ */
 const MIN_PASS_RATE = 0.2;
-/** One in so many calls starts small all the same, so that the share stays known. */
+/**
+ * One in this many calls starts with the small model all the same, so that the pass rate stays up
+ * to date.
+ */
 const EXPLORE_ONE_IN = 20;
-/** Share of good answers from which one counts as passed in that share. */
+/** Probability of being good from which an answer counts as passed in the pass rate. */
 const PASS_PROBABILITY = 0.5;
 
 /**
- * Which model a call starts with, and whether its answer is used. The middle models are left out:
- * they cost half of the largest one and are as often not good enough as the smallest.
+ * Decides which model a call starts with and whether its answer is used. Only the smallest and the
+ * largest model take part: middle ones cost half as much as the largest and are as often not good
+ * enough as the smallest.
  */
 export class ModelCascade {
-  /** What models' opinions are worth. */
+  /** Calibration of the confidences that models report. */
   readonly calibration = new ConfidenceCalibration();
   private readonly passRates = new Map<string, number>();
   private readonly meanTokens = new Map<string, number>();
   private startedCalls = 0;
 
-  /** The model that a call of the route starts with. */
+  /** Chooses the model that a call of the route starts with. */
   chooseFirstModel(route: CallRoute): string {
     const [smallest] = route.models;
-    const share = this.passRates.get(route.name) ?? 1;
+    const passRate = this.passRates.get(route.name) ?? 1;
     this.startedCalls += 1;
-    if (share >= MIN_PASS_RATE || this.startedCalls % EXPLORE_ONE_IN === 0)
+    if (passRate >= MIN_PASS_RATE || this.startedCalls % EXPLORE_ONE_IN === 0)
       return smallest;
     return this.largestModel(route);
   }
@@ -78,7 +93,7 @@
     return route.models[route.models.length - 1];
   }
 
-  /** Compares using a small model's answer now with asking the largest model instead. */
+  /** Compares using a model's answer now with asking the largest model instead. */
   evaluateAnswer(answer: CandidateAnswer): CascadeDecision {
     const {route, model, confidence} = answer;
     if (model === this.largestModel(route) || confidence === undefined)
@@ -86,21 +101,21 @@
     const goodShare = this.calibration.probabilityGood(confidence);
     this.updatePassRate(route, goodShare);
     const {latencyTargetMs} = route;
-    const leftMs = latencyTargetMs - answer.elapsedMs;
+    const remainingMs = latencyTargetMs - answer.elapsedMs;
     const quality = goodShare + (1 - goodShare) * POOR_ANSWER_WORTH;
-    const worthNow = quality * (leftMs > 0 ? 1 : LATE_ANSWER_WORTH);
-    const ownWorth = estimatePromptWorth(
+    const worthNow = quality * (remainingMs > 0 ? 1 : LATE_ANSWER_WORTH);
+    const promptWorth = estimatePromptWorth(
       this.relativePromptSize(route, answer.tokens),
     );
     const worthLarge = estimateLargestModelWorth(answer.largest, {
       latencyTargetMs,
-      remainingMs: leftMs,
-      promptWorth: ownWorth,
+      remainingMs,
+      promptWorth,
     });
     return {isUsed: worthNow >= worthLarge, goodShare, worthNow, worthLarge};
   }
 
-  /** The prompt's size over the mean of its route, which learns from it. */
+  /** Prompt length relative to the route's mean, which is updated with it. */
   private relativePromptSize(route: CallRoute, tokens: number): number {
     const before = this.meanTokens.get(route.name) ?? tokens;
     const mean = before + LEARNING_RATE * (tokens - before);
@@ -111,12 +126,12 @@
   private updatePassRate(route: CallRoute, goodShare: number): void {
     const before = this.passRates.get(route.name) ?? 1;
     const passed = goodShare >= PASS_PROBABILITY ? 1 : 0;
-    const share = before + LEARNING_RATE * (passed - before);
-    this.passRates.set(route.name, share);
+    const passRate = before + LEARNING_RATE * (passed - before);
+    this.passRates.set(route.name, passRate);
   }
 }
 
-/** What an answer to a prompt is worth over that to a mean one, by its size over the mean. */
+/** Worth of an answer relative to that for a mean prompt, by prompt length relative to the mean. */
 function estimatePromptWorth(size: number): number {
   return Math.min(
     MAX_PROMPT_WORTH,
@@ -124,19 +139,28 @@
   );
 }
 
-/** The worth of the largest model's answer, less its price and what the others lose by its reading. */
+/**
+ * Expected worth of the largest model's answer, less its price and the cost of its prompt
+ * processing to other requests.
+ */
 function estimateLargestModelWorth(
   {expectedMs, workMs, pressure}: LargestModelForecast,
-  {latencyTargetMs, remainingMs: leftMs, promptWorth: ownWorth}: RequestValue,
+  {latencyTargetMs, remainingMs, promptWorth}: RequestValue,
 ): number {
-  const inTime = estimateOnTimeProbability(expectedMs, leftMs);
-  const gain = inTime + (1 - inTime) * LATE_ANSWER_WORTH;
-  const crowding = LOAD_COST * (workMs / latencyTargetMs) * pressure;
-  return gain - LARGEST_MODEL_PRICE - crowding / ownWorth;
+  const onTimeProbability = estimateOnTimeProbability(expectedMs, remainingMs);
+  const gain = onTimeProbability + (1 - onTimeProbability) * LATE_ANSWER_WORTH;
+  const loadCost = LOAD_COST * (workMs / latencyTargetMs) * pressure;
+  return gain - LARGEST_MODEL_PRICE - loadCost / promptWorth;
 }
 
-/** The chance that something expected to take so long is there within the time left; a half at equality. */
-function estimateOnTimeProbability(expectedMs: number, leftMs: number): number {
-  if (leftMs <= 0) return 0;
-  return 1 / (1 + (expectedMs / leftMs) ** TIME_STEEPNESS);
+/**
+ * Probability that something with this expected time is done within the remaining time; 0.5 if both
+ * are equal.
+ */
+function estimateOnTimeProbability(
+  expectedMs: number,
+  remainingMs: number,
+): number {
+  if (remainingMs <= 0) return 0;
+  return 1 / (1 + (expectedMs / remainingMs) ** TIME_STEEPNESS);
 }
--- a/packages/decisions/src/calls/outlier_detector.test.ts
+++ b/packages/decisions/src/calls/outlier_detector.test.ts
@@ -3,23 +3,23 @@
 import {VirtualClock} from '@bayspool/kernel';
 import {OutlierDetector} from './outlier_detector.js';
 
-void test('a runner that fails more often than the others is left alone for a time', () => {
+void test('a runner that fails more often than the others is ejected for some time', () => {
   const clock = new VirtualClock();
-  const health = new OutlierDetector({clock});
+  const detector = new OutlierDetector({clock});
   for (let i = 0; i < 5; i++) {
-    health.recordFailure();
-    health.recordSuccess();
+    detector.recordFailure();
+    detector.recordSuccess();
   }
-  assert.equal(health.ejectIfOutlier(0.4, 0, 0), undefined);
-  const forMs = health.ejectIfOutlier(0.05, 0, 0);
-  assert.ok(forMs !== undefined && health.isEjected);
-  clock.advance(forMs + 1);
-  assert.equal(health.isEjected, false);
+  assert.equal(detector.ejectIfOutlier(0.4, 0, 0), undefined);
+  const ejectionMs = detector.ejectIfOutlier(0.05, 0, 0);
+  assert.ok(ejectionMs !== undefined && detector.isEjected);
+  clock.advance(ejectionMs + 1);
+  assert.equal(detector.isEjected, false);
 });
 
-void test('what other hosts saw counts for an ejection', () => {
-  const health = new OutlierDetector({clock: new VirtualClock()});
-  health.recordFailure();
-  assert.equal(health.ejectIfOutlier(0.05, 0, 0), undefined);
-  assert.notEqual(health.ejectIfOutlier(0.05, 1, 4), undefined);
+void test('outcomes on other hosts count for an ejection', () => {
+  const detector = new OutlierDetector({clock: new VirtualClock()});
+  detector.recordFailure();
+  assert.equal(detector.ejectIfOutlier(0.05, 0, 0), undefined);
+  assert.notEqual(detector.ejectIfOutlier(0.05, 1, 4), undefined);
 });
--- a/packages/decisions/src/calls/outlier_detector.ts
+++ b/packages/decisions/src/calls/outlier_detector.ts
@@ -4,20 +4,23 @@
   readonly clock: Clock;
 }
 
-/** Time in which the weight of an outcome falls to half, in ms. */
+/** Half-life of the weight of an outcome, in ms. */
 const HALF_LIFE_MS = 3_000;
-/** Failures, by weight, before a runner can be ejected. */
+/** Weight of failures required to eject a runner. */
 const MIN_FAILURES = 2.5;
-/** Share of failures over that of the other runners at which a runner is ejected. */
+/** Excess of the failure rate over that of the other runners at which a runner is ejected. */
 const FAILURE_MARGIN = 0.22;
-/** First time of an ejection, in ms; it doubles with each one in a row. */
+/** Duration of the first ejection, in ms; it doubles with each consecutive one. */
 const BASE_EJECTION_MS = 1_500;
-/** Longest time of an ejection, in ms. */
+/** Maximum duration of an ejection, in ms. */
 const MAX_EJECTION_MS = 12_000;
-/** How long after an ejection a further one counts as in a row, in ms. */
+/** Time after an ejection within which the next one counts as consecutive, in ms. */
 const CONSECUTIVE_WINDOW_MS = 20_000;
 
-/** Outcomes of one runner, the newer the weightier, and whether it is left alone for a time. */
+/**
+ * Outlier detection for one runner: tracks its outcomes with exponential decay and ejects it for
+ * some time if it fails more often than the others.
+ */
 export class OutlierDetector {
   private successes = 0;
   private failures = 0;
@@ -27,49 +30,57 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Whether it is left alone now. */
+  /** Whether the runner is ejected now. */
   get isEjected(): boolean {
     return this.options.clock.now() < this.ejectedUntil;
   }
 
-  /** Weight of its good answers. */
+  /** Decayed weight of its successful calls. */
   get successWeight(): number {
     this.decay();
     return this.successes;
   }
 
-  /** Weight of its failures. */
+  /** Decayed weight of its failures. */
   get failureWeight(): number {
     this.decay();
     return this.failures;
   }
 
-  /** Counts a good answer. */
+  /** Records a successful call. */
   recordSuccess(): void {
     this.decay();
     this.successes += 1;
   }
 
-  /** @param weight over 1 for failures that leave little doubt, such as a refused connection */
+  /**
+   * Records a failure.
+   *
+   * @param weight over 1 for failures that leave little doubt, such as a refused connection
+   */
   recordFailure(weight = 1): void {
     this.decay();
     this.failures += weight;
   }
 
   /**
-   * Ejects the runner if it fails clearly more often than the others do.
-   * @returns the time for which it is left alone, in ms; undefined if it is not ejected now
+   * Ejects the runner if it fails clearly more often than the others.
+   *
+   * @param othersFailureRate failure rate of the other runners
+   * @param remoteSuccesses weight of its successful calls on other hosts
+   * @param remoteFailures weight of its failures on other hosts
+   * @returns duration of the ejection, in ms; undefined if the runner is not ejected now
    */
   ejectIfOutlier(
-    othersShare: number,
-    remoteOk: number,
-    remoteFailed: number,
+    othersFailureRate: number,
+    remoteSuccesses: number,
+    remoteFailures: number,
   ): number | undefined {
     this.decay();
-    const failed = this.failures + remoteFailed;
-    const ended = failed + this.successes + remoteOk;
-    if (this.isEjected || failed < MIN_FAILURES) return undefined;
-    if (failed / ended < othersShare + FAILURE_MARGIN) return undefined;
+    const failures = this.failures + remoteFailures;
+    const ended = failures + this.successes + remoteSuccesses;
+    if (this.isEjected || failures < MIN_FAILURES) return undefined;
+    if (failures / ended < othersFailureRate + FAILURE_MARGIN) return undefined;
     return this.eject();
   }
 
@@ -77,15 +88,15 @@
     const now = this.options.clock.now();
     if (now - this.ejectedUntil > CONSECUTIVE_WINDOW_MS)
       this.consecutiveEjections = 0;
-    const forMs = Math.min(
+    const ejectionMs = Math.min(
       MAX_EJECTION_MS,
       BASE_EJECTION_MS * 2 ** this.consecutiveEjections,
     );
     this.consecutiveEjections += 1;
-    this.ejectedUntil = now + forMs;
+    this.ejectedUntil = now + ejectionMs;
     this.successes = 0;
     this.failures = 0;
-    return forMs;
+    return ejectionMs;
   }
 
   private decay(): void {
--- a/packages/decisions/src/calls/pick_first_by_hash.test.ts
+++ b/packages/decisions/src/calls/pick_first_by_hash.test.ts
@@ -3,7 +3,7 @@
 import {pickFirstByHash} from './pick_first_by_hash.js';
 import {rankByHash} from './rank_by_hash.js';
 
-void test('the first by hash is the one that ranks first', () => {
+void test('the name picked is the one that ranks first', () => {
   const names = Array.from({length: 50}, (_, i) => `runner-${i}`);
   for (let i = 0; i < 200; i++)
     assert.equal(
--- a/packages/decisions/src/calls/pick_first_by_hash.ts
+++ b/packages/decisions/src/calls/pick_first_by_hash.ts
@@ -1,6 +1,6 @@
 import {hashToFraction} from './hash_to_fraction.js';
 
-/** The name that {@link rankByHash} puts first, without ordering the others. */
+/** Picks the name that {@link rankByHash} ranks first, without sorting the others. */
 export function pickFirstByHash(
   key: string,
   names: readonly string[],
--- a/packages/decisions/src/calls/prompt.ts
+++ b/packages/decisions/src/calls/prompt.ts
@@ -1,9 +1,9 @@
 import type {PromptPart} from './prompt_part.js';
 
-/** The size and the parts of a call's prompt. */
+/** Size and parts of a call's prompt. */
 export interface Prompt {
-  /** Tokens to read. */
+  /** Length of the prompt in tokens. */
   readonly tokens: number;
-  /** In order; the last one is the call's own or its session's. */
+  /** In order; the last one belongs to this call or its session alone. */
   readonly parts: readonly PromptPart[];
 }
--- a/packages/decisions/src/calls/prompt_part.ts
+++ b/packages/decisions/src/calls/prompt_part.ts
@@ -1,4 +1,4 @@
-/** A part of a prompt; parts may be shared between requests. */
+/** A part of a prompt; several requests may share it. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
--- a/packages/decisions/src/calls/quarantine.ts
+++ b/packages/decisions/src/calls/quarantine.ts
@@ -5,14 +5,12 @@
 import type {RunnerCrash} from './runner_crash.js';
 import {SuspectRequest} from './suspect_request.js';
 
-/** Told which requests are held back. */
+/** Notified when a request is quarantined or released. */
 interface Listener {
-  /** A request is held back from now on. */
   readonly onQuarantined: (
     fingerprint: string,
-    ends: readonly RunnerCrash[],
+    crashes: readonly RunnerCrash[],
   ) => void;
-  /** A request is held back no longer. */
   readonly onReleased: (fingerprint: string, reason: ReleaseReason) => void;
 }
 
@@ -21,40 +19,58 @@
 }
 
 /**
- * Weight of ends from which a request is held back: three runs that were begun and gave nothing. On three days with
- * usual faults the most that spoke against a request by chance was 1.3, of 35 ends that counted; on one on which most
- * runners spoil or reset their answers and live on, 1 of 89.
+ * Total crash weight at which a request is quarantined: three runs that had started and produced no
+ * output. On three days with ordinary faults the highest total that a request reached by chance was
+ * 1.3, out of 35 crashes with a weight; on a day on which most runners corrupt or reset their
+ * responses without crashing it was 1, out of 89.
  */
 const QUARANTINE_WEIGHT = 3;
-/** Weight of an end from which it leaves no doubt. */
+/** Minimum weight of a crash that leaves no doubt about its cause. */
 const CERTAIN_WEIGHT = 1;
-/** Weights are sums of tenths. */
+/** Tolerance for comparing weights, which are sums of tenths. */
 const WEIGHT_EPSILON = 1e-9;
-/** Time in which hosts of a place tell each other of all requests that a runner had when it ended, in ms. */
+/**
+ * Time within which the hosts of a place have told each other about all requests that a crashed
+ * runner had, in ms.
+ */
 const PROPAGATION_MS = 1_000;
 /**
- * How long a request is held back, in ms: long enough that its callers give up, short enough that one which was mended,
- * or never was the cause, is tried again by itself.
+ * How long a request is quarantined, in ms: long enough for its callers to give up, short enough
+ * that a request that was fixed, or was never the cause, is retried without intervention.
  */
 const QUARANTINE_MS = 600_000;
 /**
- * How long an end is remembered, in ms: over the time for which other hosts, which may have heard of it later, hold a
- * request back and tell of it; else that would begin anew.
+ * How long a crash is remembered, in ms. Longer than other hosts, which may have learned of it
+ * later, keep the request quarantined and gossip about it; otherwise their gossip would start a new
+ * quarantine.
  */
 const CRASH_RETENTION_MS = 2 * QUARANTINE_MS;
-/** How long an end or a good answer is told to other hosts, in ms: some passes between hosts and places. */
+/**
+ * How long a crash or a successful response is gossiped, in ms: a few rounds between hosts and
+ * places.
+ */
 const GOSSIP_MS = 10_000;
-/** Requests told at once, the last changed first, and those that are held back before them. */
+/**
+ * Maximum number of requests in a digest: quarantined ones first, then the most recently changed.
+ */
 const MAX_DIGEST_REQUESTS = 64;
-/** Requests that are remembered; the least lately changed give way. 650 bytes each with one end (mean of 20,000). */
+/**
+ * Maximum number of suspects; the least recently changed are evicted. Each takes 650 bytes with one
+ * crash (mean of 20,000).
+ */
 const MAX_SUSPECTS = 1_000;
-/** Requests that are held back at once: more are a fault of the runners, and then the oldest is let go. */
+/**
+ * Maximum number of quarantined requests. More than that points to faulty runners, so the oldest is
+ * released.
+ */
 const MAX_QUARANTINED = 200;
 
 /**
- * Finds the requests under which runners end, wherever they come from, and says which are held back. Ends are sets, so
- * it does not matter how often and in which order hosts tell them. A good answer clears a request: one that ends every
- * runner never has any. An end is put down to one request only: where one that is held back was, it speaks against no other.
+ * Detects requests that crash the runners they are sent to, whichever caller sends them, and
+ * quarantines them. Crashes are kept as sets, so the order and number of times in which hosts
+ * report them do not matter. A successful response clears a request, since a request that crashes
+ * every runner never gets one. Each crash is attributed to one request only: if a quarantined
+ * request was present, the crash does not count against any other.
  */
 export class Quarantine {
   private readonly suspects = new Map<string, SuspectRequest>();
@@ -63,47 +79,50 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Tells the listener of each request that is held back or let go from now on. */
+  /** Registers a listener for requests that are quarantined or released from now on. */
   onChange(listener: Listener): void {
     this.listeners.push(listener);
   }
 
-  /** How long a request is still held back, in ms; 0 if it is not. */
+  /** Remaining quarantine of a request, in ms; 0 if it is not quarantined. */
   remainingMs(fingerprint: string): number {
-    const heldAt = this.suspects.get(fingerprint)?.quarantinedAt;
-    if (heldAt === undefined) return 0;
-    return Math.max(0, heldAt + QUARANTINE_MS - this.options.clock.now());
+    const quarantinedAt = this.suspects.get(fingerprint)?.quarantinedAt;
+    if (quarantinedAt === undefined) return 0;
+    return Math.max(
+      0,
+      quarantinedAt + QUARANTINE_MS - this.options.clock.now(),
+    );
   }
 
-  /** The requests that are held back. */
+  /** Fingerprints of the quarantined requests. */
   quarantinedFingerprints(): readonly string[] {
     return this.quarantinedSuspects().map(({fingerprint}) => fingerprint);
   }
 
-  /** How much speaks against a request so far; 0 for one under which no runner ended. */
+  /** Total crash weight against a request; 0 if no runner crashed while it had the request. */
   weightOf(fingerprint: string): number {
     return this.suspects.get(fingerprint)?.weight ?? 0;
   }
 
-  /** Takes in that a runner ended while it had a request. */
-  recordCrashes(fingerprint: string, ends: readonly RunnerCrash[]): void {
-    this.addCrashes(fingerprint, ends);
+  /** Records runners that crashed while they had a request. */
+  recordCrashes(fingerprint: string, crashes: readonly RunnerCrash[]): void {
+    this.addCrashes(fingerprint, crashes);
     this.quarantineCertain([fingerprint]);
     this.quarantineRecurrent([fingerprint]);
   }
 
   /**
-   * Takes in that hosts hold a request back, as the store tells. It is not judged anew: which ends another request
-   * explains depends on which of them is read first.
+   * Applies a quarantine record from the store. The request is not evaluated again, because which
+   * crashes another request explains depends on which record is read first.
    */
-  restoreRecord(fingerprint: string, ends: readonly RunnerCrash[]): void {
-    this.addCrashes(fingerprint, ends);
+  restoreRecord(fingerprint: string, crashes: readonly RunnerCrash[]): void {
+    this.addCrashes(fingerprint, crashes);
     const suspect = this.suspects.get(fingerprint);
     if (!suspect || suspect.quarantinedAt !== undefined) return;
     if (reachesThreshold(suspect.weight)) this.startQuarantine(suspect);
   }
 
-  /** Takes in that a request was answered well. */
+  /** Records that a request was answered successfully. */
   recordAnswer(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect || suspect.crashes.length === 0) return;
@@ -111,16 +130,16 @@
     this.release(fingerprint, ReleaseReason.ANSWERED);
   }
 
-  /** What other hosts are to be told. */
+  /** Creates the digest for the other hosts. */
   createDigest(): QuarantineDigest {
     const now = this.options.clock.now();
     for (const [fingerprint, at] of this.answered)
       if (now - at > GOSSIP_MS) this.answered.delete(fingerprint);
-    const recent = this.releasedSuspects().filter(
+    const recent = this.unquarantinedSuspects().filter(
       ({changedAt}) => now - changedAt <= GOSSIP_MS,
     );
-    const told = [...this.quarantinedSuspects(), ...recent.reverse()];
-    const ends = told
+    const suspects = [...this.quarantinedSuspects(), ...recent.reverse()];
+    const ends = suspects
       .slice(0, MAX_DIGEST_REQUESTS)
       .map(suspect => [suspect.fingerprint, toRunnerCrashes(suspect)] as const);
     return {
@@ -129,68 +148,74 @@
     };
   }
 
-  /** Takes in what other hosts told. */
+  /** Merges a digest from other hosts. */
   mergeDigest({ends, answered}: QuarantineDigest): void {
     for (const fingerprint of answered) {
-      const isNews = this.suspects.get(fingerprint)?.crashes.length;
-      if (isNews) this.release(fingerprint, ReleaseReason.ANSWERED);
+      const hasCrashes = this.suspects.get(fingerprint)?.crashes.length;
+      if (hasCrashes) this.release(fingerprint, ReleaseReason.ANSWERED);
     }
-    for (const [fingerprint, list] of Object.entries(ends))
-      this.addCrashes(fingerprint, list);
+    for (const [fingerprint, crashes] of Object.entries(ends))
+      this.addCrashes(fingerprint, crashes);
     this.quarantineCertain(Object.keys(ends));
     this.quarantineRecurrent(Object.keys(ends));
   }
 
-  /** Lets a request go; what is known of it so far counts no longer. */
+  /** Releases a request and discounts the crashes recorded for it so far. */
   release(fingerprint: string, reason: ReleaseReason): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect) return;
-    const wasHeld = suspect.quarantinedAt !== undefined;
+    const wasQuarantined = suspect.quarantinedAt !== undefined;
     suspect.discountCrashes();
-    if (!wasHeld) return;
+    if (!wasQuarantined) return;
     for (const {onReleased} of this.listeners) onReleased(fingerprint, reason);
   }
 
-  /** Does what falls due with time; to be called once a second or so. */
+  /** Applies the rules that depend on time; to be called about once a second. */
   review(): void {
     this.expire();
     this.quarantineRecurrent([...this.suspects.keys()]);
     this.quarantineUncertain();
   }
 
-  /** Lets go what was held back for long enough, and forgets what is too old to count. */
+  /** Releases requests whose quarantine is over and forgets crashes past their retention. */
   private expire(): void {
     const now = this.options.clock.now();
     for (const suspect of [...this.suspects.values()]) {
-      const {quarantinedAt: heldAt, fingerprint} = suspect;
-      if (heldAt !== undefined && now - heldAt >= QUARANTINE_MS)
+      const {quarantinedAt, fingerprint} = suspect;
+      if (quarantinedAt !== undefined && now - quarantinedAt >= QUARANTINE_MS)
         this.release(fingerprint, ReleaseReason.EXPIRED);
-      const isOld = !suspect.forgetBefore(now - CRASH_RETENTION_MS);
-      if (isOld) this.suspects.delete(fingerprint);
+      const isEmpty = !suspect.forgetBefore(now - CRASH_RETENTION_MS);
+      if (isEmpty) this.suspects.delete(fingerprint);
     }
   }
 
-  private releasedSuspects(): SuspectRequest[] {
+  private unquarantinedSuspects(): SuspectRequest[] {
     return [...this.suspects.values()].filter(
-      ({quarantinedAt: heldAt}) => heldAt === undefined,
+      ({quarantinedAt}) => quarantinedAt === undefined,
     );
   }
 
   private quarantinedSuspects(): SuspectRequest[] {
     return [...this.suspects.values()].filter(
-      ({quarantinedAt: heldAt}) => heldAt !== undefined,
+      ({quarantinedAt}) => quarantinedAt !== undefined,
     );
   }
 
-  private addCrashes(fingerprint: string, ends: readonly RunnerCrash[]): void {
-    const counted = ends.filter(({weight}) => weight > 0);
-    if (counted.length === 0) return;
+  private addCrashes(
+    fingerprint: string,
+    crashes: readonly RunnerCrash[],
+  ): void {
+    const weighted = crashes.filter(({weight}) => weight > 0);
+    if (weighted.length === 0) return;
     const suspect = this.touchSuspect(fingerprint);
     const now = this.options.clock.now();
-    for (const end of counted) suspect.addCrash(end, now);
+    for (const crash of weighted) suspect.addCrash(crash, now);
   }
 
-  /** Ends of runs that were begun and gave nothing leave no doubt: nobody waits for further news of them. */
+  /**
+   * Quarantines by crashes of runs that had started and produced no output. They leave no doubt, so
+   * reports from other hosts need not be awaited.
+   */
   private quarantineCertain(fingerprints: readonly string[]): void {
     this.quarantineHeaviestFirst(
       this.findSuspects(fingerprints),
@@ -198,26 +223,29 @@
     );
   }
 
-  /** Requests that were at ends again after a pause are judged as the only cause of those that nothing else explains. */
+  /**
+   * Quarantines requests that were present at crashes again after a pause, if they are the only
+   * cause of those that no other request explains.
+   */
   private quarantineRecurrent(fingerprints: readonly string[]): void {
     const suspects = this.findSuspects(fingerprints)
       .filter(
-        ({quarantinedAt: heldAt, crashes: ends}) =>
-          heldAt === undefined && reachesThreshold(ends.length),
+        ({quarantinedAt, crashes}) =>
+          quarantinedAt === undefined && reachesThreshold(crashes.length),
       )
       .sort((a, b) => b.crashes.length - a.crashes.length);
     const now = this.options.clock.now();
     for (const suspect of suspects) {
-      const ends = reweighRecurrentCrashes({
+      const crashes = reweighRecurrentCrashes({
         suspect,
-        candidates: this.releasedSuspects(),
+        candidates: this.unquarantinedSuspects(),
         explained: this.explainedCrashes(),
         settledUntil: now - PROPAGATION_MS,
       });
-      const weight = ends.reduce((sum, end) => sum + end.weight, 0);
+      const weight = crashes.reduce((sum, crash) => sum + crash.weight, 0);
       if (!reachesThreshold(weight)) continue;
-      // Other hosts, and the store, are told the weights by which it is held back.
-      for (const end of ends) suspect.addCrash(end, now);
+      // Digests and the store carry the weights that led to the quarantine.
+      for (const crash of crashes) suspect.addCrash(crash, now);
       this.startQuarantine(suspect);
     }
   }
@@ -229,34 +257,39 @@
   }
 
   /**
-   * Ends of runs of which nobody knows whether they were begun. Requests that waited at the same runner break off in any
-   * order and at several hosts, so these are judged once all have told; of two that were at the same ends neither is held
-   * back until one of them was at a further one.
+   * Quarantines by crashes of runs that may not have started. Requests that waited at the same
+   * runner fail in any order and at several hosts, so these crashes are evaluated only after all
+   * hosts have reported them. Of two requests that were present at the same crashes neither is
+   * quarantined until one of them is present at another crash.
    */
   private quarantineUncertain(): void {
     const now = this.options.clock.now();
-    const settled = this.releasedSuspects()
+    const settled = this.unquarantinedSuspects()
       .filter(({weight}) => reachesThreshold(weight))
       .filter(({changedAt}) => now - changedAt >= PROPAGATION_MS)
       .filter(suspect => !this.isIndistinguishable(suspect));
     this.quarantineHeaviestFirst(settled, 0);
   }
 
+  /** Whether another suspect was present at all crashes of this one. */
   private isIndistinguishable(suspect: SuspectRequest): boolean {
-    return this.releasedSuspects().some(
+    return this.unquarantinedSuspects().some(
       other => other !== suspect && other.coversCrashesOf(suspect),
     );
   }
 
-  /** Ends that the heaviest one explains speak against no other. */
+  /**
+   * Goes from the heaviest suspect to the lightest: crashes that a quarantined request explains do
+   * not count against the next.
+   */
   private quarantineHeaviestFirst(
     suspects: readonly SuspectRequest[],
     minWeight: number,
   ): void {
     const heaviestFirst = suspects
       .filter(
-        ({quarantinedAt: heldAt, weight}) =>
-          heldAt === undefined && reachesThreshold(weight),
+        ({quarantinedAt, weight}) =>
+          quarantinedAt === undefined && reachesThreshold(weight),
       )
       .sort((a, b) => b.weight - a.weight);
     for (const suspect of heaviestFirst) {
@@ -268,25 +301,28 @@
 
   private startQuarantine(suspect: SuspectRequest): void {
     suspect.quarantinedAt = this.options.clock.now();
-    const held = this.quarantinedSuspects();
-    if (held.length > MAX_QUARANTINED) {
-      const oldest = held.reduce((a, b) =>
+    const quarantined = this.quarantinedSuspects();
+    if (quarantined.length > MAX_QUARANTINED) {
+      const oldest = quarantined.reduce((a, b) =>
         (b.quarantinedAt ?? 0) < (a.quarantinedAt ?? 0) ? b : a,
       );
       this.release(oldest.fingerprint, ReleaseReason.OVER_CAPACITY);
     }
-    for (const {onQuarantined: onHeld} of this.listeners)
-      onHeld(suspect.fingerprint, toRunnerCrashes(suspect));
+    for (const {onQuarantined} of this.listeners)
+      onQuarantined(suspect.fingerprint, toRunnerCrashes(suspect));
   }
 
   private explainedCrashes(): Set<number> {
-    const starts = this.quarantinedSuspects().flatMap(
-      ({crashes: ends}) => ends,
+    const explained = this.quarantinedSuspects().flatMap(
+      ({crashes}) => crashes,
     );
-    return new Set(starts.map(({start}) => start));
+    return new Set(explained.map(({start}) => start));
   }
 
-  /** The least lately changed stand first. */
+  /**
+   * Finds or adds a suspect and moves it to the end of the map, so that the least recently changed
+   * one comes first.
+   */
   private touchSuspect(fingerprint: string): SuspectRequest {
     const suspect =
       this.suspects.get(fingerprint) ?? new SuspectRequest(fingerprint);
@@ -297,16 +333,16 @@
   }
 
   private evictOldestSuspect(): void {
-    for (const [fingerprint, {quarantinedAt: heldAt}] of this.suspects) {
-      if (heldAt !== undefined) continue;
+    for (const [fingerprint, {quarantinedAt}] of this.suspects) {
+      if (quarantinedAt !== undefined) continue;
       this.suspects.delete(fingerprint);
       return;
     }
   }
 }
 
-function toRunnerCrashes({crashes: ends}: SuspectRequest): RunnerCrash[] {
-  return ends.map(({start, weight}) => ({start, weight}));
+function toRunnerCrashes({crashes}: SuspectRequest): RunnerCrash[] {
+  return crashes.map(({start, weight}) => ({start, weight}));
 }
 
 function reachesThreshold(weight: number): boolean {
--- a/packages/decisions/src/calls/quarantine_digest.ts
+++ b/packages/decisions/src/calls/quarantine_digest.ts
@@ -1,9 +1,9 @@
 import type {RunnerCrash} from './runner_crash.js';
 
-/** What hosts tell each other of requests under which runners ended. */
+/** Gossip between hosts about requests that were present at runner crashes. */
 export interface QuarantineDigest {
-  /** Ends of runners by the fingerprint of a request that they had. */
+  /** Crashes by the fingerprint of a request that the runner had. */
   readonly ends: Readonly<Record<string, readonly RunnerCrash[]>>;
-  /** Fingerprints of such requests that were answered well since. */
+  /** Fingerprints of suspect requests that have been answered successfully since. */
   readonly answered: readonly string[];
 }
--- a/packages/decisions/src/calls/rank_by_hash.test.ts
+++ b/packages/decisions/src/calls/rank_by_hash.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {rankByHash} from './rank_by_hash.js';
 
-void test('hosts rank alike, and losing one moves no other', () => {
+void test('the rank does not depend on the order of the names, and removing one moves no other', () => {
   const names = ['a', 'b', 'c', 'd'];
   const ranked = rankByHash('key', names);
   assert.deepEqual(rankByHash('key', [...names].reverse()), ranked);
--- a/packages/decisions/src/calls/rank_by_hash.ts
+++ b/packages/decisions/src/calls/rank_by_hash.ts
@@ -1,6 +1,6 @@
 import {hashToFraction} from './hash_to_fraction.js';
 
-/** Orders names for a key by rendezvous hashing, so that all hosts agree without a message. */
+/** Ranks names for a key by rendezvous hashing, so that all hosts agree without communication. */
 export function rankByHash(key: string, names: readonly string[]): string[] {
   return names
     .map(name => ({name, score: hashToFraction(`${key}|${name}`)}))
--- a/packages/decisions/src/calls/release_reason.ts
+++ b/packages/decisions/src/calls/release_reason.ts
@@ -1,4 +1,4 @@
-/** Why a request is held back no longer; the texts stand in logs. */
+/** Why a request is released from quarantine; the values appear in logs. */
 const ReleaseReason = {
   ANSWERED: 'answered well',
   EXPIRED: 'time is over',
--- a/packages/decisions/src/calls/retry_reservation.ts
+++ b/packages/decisions/src/calls/retry_reservation.ts
@@ -1,24 +1,29 @@
 interface Options {
-  /** Counts the repeat as sent now; false if it may not be sent any more. */
+  /** Counts the retry as sent now; returns false if it may not be sent any more. */
   readonly onSpend: () => boolean;
-  /** Gives the room back. */
+  /** Returns the reservation to the budget. */
   readonly onRelease: () => void;
 }
 
-/** Room in a retry budget for one repeat that is about to be sent. */
+/** Reservation of one retry in a retry budget, made before the retry is sent. */
 export class RetryReservation {
   private isOpen = true;
 
   constructor(private readonly options: Options) {}
 
-  /** To be called as the repeat is sent: time may have passed since. @returns whether it may be sent */
+  /**
+   * Spends the reservation; to be called when the retry is sent, as the budget may have changed
+   * since.
+   *
+   * @returns whether the retry may be sent
+   */
   spend(): boolean {
     if (!this.isOpen) return false;
     this.release();
     return this.options.onSpend();
   }
 
-  /** Gives the room back if the repeat was not sent. */
+  /** Returns the reservation if the retry was not sent. */
   release(): void {
     if (!this.isOpen) return;
     this.isOpen = false;
--- a/packages/decisions/src/calls/reweigh_recurrent_crashes.ts
+++ b/packages/decisions/src/calls/reweigh_recurrent_crashes.ts
@@ -3,27 +3,31 @@
 
 interface Options {
   readonly suspect: SuspectRequest;
-  /** All requests that are not held back. */
+  /** All requests that are not quarantined. */
   readonly candidates: readonly SuspectRequest[];
-  /** Starts of runners whose end is put down to a request that is held back. */
+  /** Runner starts whose crash is attributed to a quarantined request. */
   readonly explained: ReadonlySet<number>;
-  /** Ends noted until then, in ms: all hosts had time to tell of them. */
+  /** All hosts have had time to report the crashes noted up to this time, in ms. */
   readonly settledUntil: number;
 }
 
-/** Weight of an end that no other request explains. */
+/** Weight of a crash that no other request explains. */
 const ONLY_CAUSE_WEIGHT = 1;
-/** A pause between ends of runners in which a request that was only sent on with the others has had its answer, in ms. */
+/**
+ * Pause between runner crashes, in ms, within which a request that was merely retried along with
+ * the others has been answered.
+ */
 const EPISODE_GAP_MS = 1_000;
-/** Rounds of ends in which a request has to be to be told from what was sent on with it. */
+/** Crash episodes that distinguish a request from those retried along with it. */
 const MIN_EPISODES = 2;
-/** Ends of another request from which on an end may be its doing as well. */
+/** Number of crashes of another request from which on it may be the cause as well. */
 const MIN_OTHER_CRASHES = 2;
 
 /**
- * What speaks against a request that was at ends again after a pause; nothing if it was not. Whole answers give no sign that
- * their run has begun, but what only waited is answered or given up meanwhile: so an end counts in full if every other
- * request that was there was at no further end.
+ * Reweighs the crashes of a request that was present at crashes again after a pause; returns none
+ * if it was not. A response that is not streamed gives no sign that its run has started, but
+ * requests that only waited are answered or given up during the pause. So a crash gets full weight
+ * if no other request that was present was at a further crash.
  */
 export function reweighRecurrentCrashes(options: Options): RunnerCrash[] {
   const {suspect, explained} = options;
@@ -37,11 +41,8 @@
     });
 }
 
-function isOnlyCause(
-  {suspect, candidates: open}: Options,
-  start: number,
-): boolean {
-  return !open.some(
+function isOnlyCause({suspect, candidates}: Options, start: number): boolean {
+  return !candidates.some(
     other =>
       other !== suspect &&
       other.wasPresentAt(start) &&
--- a/packages/decisions/src/calls/rollout_exposure.test.ts
+++ b/packages/decisions/src/calls/rollout_exposure.test.ts
@@ -14,8 +14,10 @@
 const BOUNDS = {share: 0.15, calls: 30};
 const DURATION_MS = 16_000;
 
-/** A roll-out of a service with 80 calls a second, late in its time, of which 40 answers are known to be good. */
-function facts(overrides: Partial<RolloutProgress> = {}): RolloutProgress {
+/**
+ * A rollout of a service with 80 calls per second, late in its time, with 40 known good responses.
+ */
+function progress(overrides: Partial<RolloutProgress> = {}): RolloutProgress {
   return {
     elapsedMs: 12_000,
     durationMs: DURATION_MS,
@@ -31,27 +33,27 @@
   };
 }
 
-void test('the limit is a part of the calls and some besides, which are not allowed again after all hosts forgot them', () => {
+void test('the limit is a share of the calls plus a fixed allowance, which is not granted again after all hosts lost their counts', () => {
   assert.ok(computeExposureLimit(BOUNDS, 1_000, true) <= 180);
   assert.ok(computeExposureLimit(BOUNDS, 1_000, true) > 150);
   assert.equal(computeExposureLimit(BOUNDS, 1_000, false), 150);
 });
 
-void test('what a watched version may get rises with its good answers, not with time', () => {
-  const early = facts({elapsedMs: 2_000, goodFresh: 0, sentFresh: 0});
-  const late = facts({elapsedMs: 15_000, goodFresh: 0, sentFresh: 0});
+void test('the canary limit rises with good responses, not with time', () => {
+  const early = progress({elapsedMs: 2_000, goodFresh: 0, sentFresh: 0});
+  const late = progress({elapsedMs: 15_000, goodFresh: 0, sentFresh: 0});
   assert.equal(
     computeCanaryLimit(BOUNDS, early),
     computeCanaryLimit(BOUNDS, late),
   );
   assert.ok(computeCanaryLimit(BOUNDS, late) < 15);
   assert.ok(
-    computeCanaryLimit(BOUNDS, facts()) > computeCanaryLimit(BOUNDS, late),
+    computeCanaryLimit(BOUNDS, progress()) > computeCanaryLimit(BOUNDS, late),
   );
 });
 
-void test('a watched version never gets more than a part of what a bad one may have, whatever is known', () => {
-  const known = fc.record({
+void test('a canary version never gets more than part of the exposure limit, whatever is known about it', () => {
+  const anyProgress = fc.record({
     elapsedMs: fc.nat(DURATION_MS),
     sentAll: fc.nat(10_000),
     sentFresh: fc.nat(1_000),
@@ -59,8 +61,8 @@
     callsPerMs: fc.double({min: 0, max: 1, noNaN: true}),
   });
   fc.assert(
-    fc.property(known, some => {
-      const all = facts(some);
+    fc.property(anyProgress, overrides => {
+      const all = progress(overrides);
       assert.ok(
         computeCanaryLimit(BOUNDS, all) <=
           computeExposureLimit(BOUNDS, all.sentAll, true),
@@ -71,41 +73,41 @@
   );
 });
 
-void test('all calls move only when those up to the limit are no more than a bad version may get, also if they come faster', () => {
-  assert.equal(canShiftAllCalls(BOUNDS, facts()), false);
-  const last = facts({elapsedMs: 15_500, sentAll: 1_240});
+void test('all calls are shifted only when those up to the limit stay within the bound for a bad version, even at a higher rate', () => {
+  assert.equal(canShiftAllCalls(BOUNDS, progress()), false);
+  const last = progress({elapsedMs: 15_500, sentAll: 1_240});
   assert.equal(canShiftAllCalls(BOUNDS, last), true);
   assert.equal(canShiftAllCalls(BOUNDS, {...last, sentFresh: 150}), false);
   assert.equal(canShiftAllCalls(BOUNDS, {...last, callsPerMs: 0.4}), false);
 });
 
-void test('nothing moves to a version that is suspect, or of which hardly an answer is known', () => {
-  const last = facts({elapsedMs: 15_500, sentAll: 1_240});
+void test('no calls are shifted to a version that is suspect or has hardly any responses', () => {
+  const last = progress({elapsedMs: 15_500, sentAll: 1_240});
   assert.equal(canShiftAllCalls(BOUNDS, {...last, isSuspect: true}), false);
   assert.equal(canShiftAllCalls(BOUNDS, {...last, goodFresh: 3}), false);
-  const few = facts({elapsedMs: 15_500, callsPerMs: 0.002, sentAll: 32});
+  const few = progress({elapsedMs: 15_500, callsPerMs: 0.002, sentAll: 32});
   assert.equal(
     canShiftAllCalls(BOUNDS, {...few, sentFresh: 8, goodFresh: 8}),
     true,
   );
 });
 
-void test('what would come after the end of the roll-out counts before one more call is given', () => {
-  const own = facts({elapsedMs: 15_000, sentAll: 1_200, sentFresh: 120});
+void test('calls expected after completion are counted before one more call is shifted', () => {
+  const own = progress({elapsedMs: 15_000, sentAll: 1_200, sentFresh: 120});
   assert.equal(canShiftOneMoreCall(BOUNDS, own), true);
   assert.equal(canShiftOneMoreCall(BOUNDS, {...own, freshPerMs: 0.2}), false);
   assert.equal(canShiftOneMoreCall(BOUNDS, {...own, callsPerMs: 0.2}), false);
 });
 
-void test('no session moves in the first half', () => {
+void test('no session is shifted in the first half', () => {
   const at = (elapsedMs: number) =>
     canShiftSessions({elapsedMs, durationMs: DURATION_MS});
   assert.equal(at(DURATION_MS / 2), false);
   assert.equal(at(DURATION_MS * 0.52), true);
 });
 
-void test('a roll-out that is not suspect is complete before its limit, one that is waits', () => {
-  const latest = facts({
+void test('a rollout that is not suspect completes before its limit, a suspect one waits', () => {
+  const latest = progress({
     elapsedMs: computeLatestCompletionMs(DURATION_MS),
     sentAll: 1_230,
   });
@@ -123,8 +125,8 @@
   );
 });
 
-void test('a roll-out is complete early only with nothing left on the old version and few calls to come', () => {
-  const few = facts({
+void test('a rollout completes early only with nothing left on the old version and few calls to come', () => {
+  const few = progress({
     elapsedMs: 13_000,
     callsPerMs: 0.002,
     sentAll: 26,
@@ -132,10 +134,10 @@
   });
   assert.equal(canCompleteRollout(BOUNDS, {...few, sentFresh: 8}, 0), true);
   assert.equal(canCompleteRollout(BOUNDS, {...few, sentFresh: 8}, 1), false);
-  const watched = {...few, sentFresh: 8, isMovingAll: false};
-  assert.equal(canCompleteRollout(BOUNDS, watched, 0), false);
+  const canary = {...few, sentFresh: 8, isMovingAll: false};
+  assert.equal(canCompleteRollout(BOUNDS, canary, 0), false);
   assert.equal(
-    canCompleteRollout(BOUNDS, facts({elapsedMs: 13_000}), 0),
+    canCompleteRollout(BOUNDS, progress({elapsedMs: 13_000}), 0),
     false,
   );
 });
--- a/packages/decisions/src/calls/rollout_order.ts
+++ b/packages/decisions/src/calls/rollout_order.ts
@@ -2,8 +2,8 @@
 export interface RolloutOrder {
   readonly service: string;
   readonly version: string;
-  /** Time from the order within which it has to be complete, in ms. */
+  /** Time after the order within which the rollout has to be completed, in ms. */
   readonly durationMs: number;
-  /** Where the order stands in the store; tells two orders for the same version apart. */
+  /** Offset of the order in the store; distinguishes two orders for the same version. */
   readonly offset: number;
 }
--- a/packages/decisions/src/calls/rollout_phase.ts
+++ b/packages/decisions/src/calls/rollout_phase.ts
@@ -1,4 +1,4 @@
-/** How far a roll-out is. */
+/** Progress of a rollout. */
 const RolloutPhase = {
   ACTIVE: 'active',
   COMPLETE: 'complete',
--- a/packages/decisions/src/calls/rollout_progress.ts
+++ b/packages/decisions/src/calls/rollout_progress.ts
@@ -1,25 +1,31 @@
-/** What hosts know together of a roll-out under way. */
+/** What the hosts together know about a rollout in progress. */
 export interface RolloutProgress {
   /** Time since the order, in ms. */
   readonly elapsedMs: number;
   /** Time from the order to its limit, in ms. */
   readonly durationMs: number;
-  /** Calls that reached the service since the order, and those of them that the new version got. */
+  /** Calls that reached the service since the order, whichever version they were sent to. */
   readonly sentAll: number;
+  /** Those of them that were sent to the new version. */
   readonly sentFresh: number;
-  /** Answers of the new version that neither failed nor were slow. */
+  /** Responses of the new version that neither failed nor were slow. */
   readonly goodFresh: number;
-  /** Rate of calls for the service, in calls a ms; the higher one of the last seconds and of all the time. */
+  /**
+   * Call rate of the service, in calls per ms: the higher of the rates over the last seconds and
+   * since the order.
+   */
   readonly callsPerMs: number;
-  /** The same of calls that the new version gets. */
+  /** The same for calls that are sent to the new version. */
   readonly freshPerMs: number;
-  /** Whether all calls are to go to the new version already. */
+  /** Whether all calls are already being shifted to the new version. */
   readonly isMovingAll: boolean;
-  /** Whether the new version seems worse than the old one, though it is not judged yet. */
+  /**
+   * Whether the new version seems worse than the old one, although it has not been found bad yet.
+   */
   readonly isSuspect: boolean;
   /**
-   * Whether some host has known of the order since it was made. Else all were started anew, and what they gave before
-   * is forgotten: the calls that are allowed besides may have been given then.
+   * Whether some host has known the order since it was made. Otherwise all hosts were restarted and
+   * their counts are lost, so the fixed allowance may have been spent before.
    */
   readonly isSeen: boolean;
 }
--- a/packages/decisions/src/calls/rollout_state.ts
+++ b/packages/decisions/src/calls/rollout_state.ts
@@ -1,10 +1,10 @@
 import type {RolloutPhase} from './rollout_phase.js';
 
-/** What the store says of a roll-out. */
+/** State of a rollout as recorded in the store. */
 export interface RolloutState {
   readonly service: string;
   readonly version: string;
   readonly phase: RolloutPhase;
-  /** Where the state stands in the store. */
+  /** Offset of the state in the store. */
   readonly offset: number;
 }
--- a/packages/decisions/src/calls/route_table.test.ts
+++ b/packages/decisions/src/calls/route_table.test.ts
@@ -3,7 +3,7 @@
 import {RouteTable} from './route_table.js';
 import {sampleRoute} from './testing/sample_route.js';
 
-void test('the longest prefix of the host name wins, queries and ports aside', () => {
+void test('the longest path prefix of the host name wins, regardless of query and port', () => {
   const deeper = {...sampleRoute, name: 'deeper', pathPrefix: '/x/y/'};
   const table = new RouteTable([sampleRoute, deeper]);
   assert.equal(table.find('A.example:80', '/x/y/1?z=/x/')?.name, 'deeper');
--- a/packages/decisions/src/calls/runner_crash.ts
+++ b/packages/decisions/src/calls/runner_crash.ts
@@ -1,7 +1,7 @@
-/** The end of a runner while it had a request. */
+/** A runner crash, or the loss of its connection, while it had a request. */
 export interface RunnerCrash {
-  /** Names one start of the runner, in 32 bits: it may come back under its id. */
+  /** Identifies one start of the runner, in 32 bits; a restarted runner may keep its id. */
   readonly start: number;
-  /** How much it speaks against the request, 0 to 1; see `weighRunnerEnd`. */
+  /** Strength of the evidence against the request, 0 to 1; see `weighRunnerCrash`. */
   readonly weight: number;
 }
--- a/packages/decisions/src/calls/runner_entry.ts
+++ b/packages/decisions/src/calls/runner_entry.ts
@@ -1,19 +1,19 @@
-/** What a runner tells of itself in the store. */
+/** A runner's registration in the store. */
 export interface RunnerEntry {
-  /** Names the runner; it may start again under the same one. */
+  /** Id of the runner; a restarted runner may keep it. */
   readonly id: string;
-  /** Time of day of its start, in ms; undefined where the platform does not tell. */
+  /** Start time by the wall clock, in ms; undefined if the platform does not report it. */
   readonly bornAt?: number;
   readonly service: string;
   /** IP:PORT. */
   readonly address: string;
   readonly place: string;
-  /** The version of its software or weights. */
+  /** Version of its software or model weights. */
   readonly version: string;
-  /** Requests that run at once. */
+  /** Requests that it processes at the same time. */
   readonly slots: number;
-  /** How much longer it was slow from its start when it wrote this, in ms; absent or 0 if it is not. */
+  /** Remaining time of its cold start when it wrote this, in ms; absent or 0 if it is not cold. */
   readonly coldLeftMs?: number;
-  /** Whether it announced its end and takes no new requests. */
+  /** Whether it is shutting down and accepts no new requests. */
   readonly isDraining: boolean;
 }
--- a/packages/decisions/src/calls/runner_rate_limit.ts
+++ b/packages/decisions/src/calls/runner_rate_limit.ts
@@ -1,10 +1,12 @@
-/** What all hosts together may send to a runner within a window. */
+/**
+ * Rate that a runner accepts from all hosts together, with the tolerance of the bound per window.
+ */
 export interface RunnerRateLimit {
-  /** Calls that it bears in a second. */
+  /** Calls per second that the runner can handle. */
   readonly perSecond: number;
-  /** Calls that it may get in a window at most: this many times what it bears, */
+  /** Factor on the rate that a window may reach. */
   readonly overage: number;
-  /** and so many besides. */
+  /** Calls allowed per window on top of that. */
   readonly slack: number;
   readonly windowMs: number;
 }
--- a/packages/decisions/src/calls/session_versions.test.ts
+++ b/packages/decisions/src/calls/session_versions.test.ts
@@ -3,7 +3,7 @@
 import {VirtualClock} from '@bayspool/kernel';
 import {SessionVersions} from './session_versions.js';
 
-void test('a session keeps its version for a time after its last call', () => {
+void test('a session keeps its version for some time after its last call', () => {
   const clock = new VirtualClock();
   const sessions = new SessionVersions({clock, retentionMs: 5_000});
   sessions.set('s', 'v1');
--- a/packages/decisions/src/calls/session_versions.ts
+++ b/packages/decisions/src/calls/session_versions.ts
@@ -2,7 +2,7 @@
 
 interface Options {
   readonly clock: Clock;
-  /** Time after a session's last call for which its version is kept, in ms. */
+  /** How long a session's version is kept after its last call, in ms. */
   readonly retentionMs: number;
 }
 
@@ -11,18 +11,21 @@
   lastAt: number;
 }
 
-/** Sessions that are remembered at most; the oldest give way. */
+/** Maximum number of sessions; the least recently used are evicted. */
 const MAX_SESSIONS = 20_000;
-/** The kept time over the platform's, because a session ends later than its last call starts. */
+/**
+ * Retention over that of the platform, because a session lasts longer than to the start of its last
+ * call.
+ */
 const RETENTION_FACTOR = 2;
 
-/** Which version each session was served by last. */
+/** Remembers which version served each session last. */
 export class SessionVersions {
   private readonly pins = new Map<string, VersionPin>();
 
   constructor(private readonly options: Options) {}
 
-  /** The version of the session's calls, if one ran a short time ago. */
+  /** The version of the session, if it had a call recently. */
   get(session: string): string | undefined {
     const pin = this.pins.get(session);
     if (!pin) return undefined;
@@ -33,7 +36,7 @@
     return undefined;
   }
 
-  /** Notes that a call of the session runs, or just ended, on a version. */
+  /** Records that a call of the session runs, or has just ended, on a version. */
   set(session: string, version: string): void {
     this.pins.delete(session);
     this.pins.set(session, {version, lastAt: this.options.clock.now()});
--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -2,37 +2,47 @@
 import {RetryReservation} from './retry_reservation.js';
 import {BucketedCounter} from './bucketed_counter.js';
 
-/** Part of the ratio that the hosts use together, so that calls and repeats which are counted late stay within it. */
+/**
+ * Part of the ratio that all hosts together use, so that calls and retries counted late stay within
+ * the bound.
+ */
 const USED_RATIO_PART = 0.95;
-/** Part of the fixed allowance that hosts share which have run for a window. */
+/** Part of the fixed allowance shared by the hosts that have run for a window. */
 const SHARED_ALLOWANCE_PART = 0.47;
 /**
- * Part of the fixed allowance that they share besides for answers that have begun: without a repeat their callers hold a
- * part of an answer and a closed connection. What is left covers late counts while there are few calls, and starts.
+ * Part of the fixed allowance shared in addition for responses that have begun: without a retry their
+ * callers are left with a partial response and a closed connection. The rest covers late counts at
+ * low call rates, and restarts.
+ */
+const PARTIAL_RESPONSE_ALLOWANCE_PART = 0.3;
+/**
+ * Maximum that a recently started host takes of either part, in retries on top of those that its
+ * calls earn.
+ */
+const STARTUP_MAX = {ALLOWANCE: 0.5, PARTIAL_RESPONSE_ALLOWANCE: 1};
+/**
+ * Retries that a recently started host may send immediately, so that its first call of a service
+ * gets three attempts.
  */
-const PARTIAL_ANSWER_ALLOWANCE_PART = 0.3;
-/** The most that a host which has just started takes of either part: repeats besides those that its calls earn. */
-const STARTUP_MAX = {ALLOWANCE: 0.5, PARTIAL_ANSWER_ALLOWANCE: 1};
-/** Repeats that a host which has just started may send at once: its first call of a service is tried three times. */
 const STARTUP_RETRIES = 2;
 /**
- * Part of the calls that is counted half a window earlier, so that calls which are under way when runners end pay for
- * repeats at once. The same at all hosts: else their sum could pass the bound, which takes one of the two for all.
+ * Part of the calls that is counted half a window earlier, so that calls in flight when runners
+ * crash pay for retries immediately. It has to be the same on all hosts; otherwise their sum could
+ * exceed the bound, which takes one of the two windows for all of them.
  */
 const EARLIER_CALLS_PART = 0.2;
-/** Parts of the window that are counted one by one. */
+/** Number of buckets in a window. */
 const BUCKETS = 40;
 const HALF_WINDOW_BUCKETS = BUCKETS / 2;
 
-/** What a repeat is for. */
 interface RetryPurpose {
-  /** Whether the caller holds a part of the answer. */
+  /** Whether the caller has received part of the response. */
   readonly hasPartialAnswer: boolean;
 }
 
-/** What was counted within the window, and what this host believes. */
+/** Counts within the window, and the number of hosts that this host assumes. */
 interface WindowCounts {
-  /** Calls taken from callers. */
+  /** Calls received from callers. */
   readonly calls: number;
   readonly retries: number;
   /** Hosts that share the allowance. */
@@ -41,22 +51,27 @@
 
 interface Options {
   readonly clock: Clock;
-  /** When this host started, on its clock. */
+  /** Start of this host, on its clock. */
   readonly startedAt: number;
-  /** Repeats allowed per first attempt, over all hosts; asked each time, as settings change. */
+  /** Retries allowed per first attempt, over all hosts; read each time because settings change. */
   readonly ratio: () => number;
-  /** Repeats allowed besides, over all hosts. */
+  /** Fixed allowance of retries per window, over all hosts. */
   readonly extra: () => number;
   readonly windowMs: number;
-  /** Most hosts that this one ever took to live, itself included: those it lost may be behind a cut, and spend too. */
+  /**
+   * Largest number of hosts that this host has ever believed alive, including itself: hosts it has
+   * lost may be behind a partition and keep spending.
+   */
   readonly hosts: () => number;
 }
 
 /**
- * The part of a service's retry budget that this host may spend. The parts of all hosts sum to less than the bound whatever they
- * believe of each other, as nearly all of it is earned by calls that the host took itself: in each window that has begun,
- * its repeats stay below the ratio of its calls in that window and in the one half a window earlier. A host that started
- * gets its part of the fixed allowance only when it has run for a window, as its last life may have spent it.
+ * This host's part of a service's retry budget. The parts of all hosts add up to less than the
+ * bound whatever the hosts believe about each other, because nearly all of it is earned by calls
+ * that the host received itself: in every window that has begun, its retries stay below the ratio
+ * times its calls in that window and in the one half a window earlier. A restarted host gets its
+ * part of the fixed allowance only after it has run for a window, since it may have spent that part
+ * before the restart.
  */
 export class SharedRetryBudget {
   private readonly calls: BucketedCounter;
@@ -65,25 +80,28 @@
 
   constructor(private readonly options: Options) {
     const {clock, windowMs} = options;
-    const sliceMs = windowMs / BUCKETS;
+    const bucketMs = windowMs / BUCKETS;
     this.calls = new BucketedCounter({
       clock,
-      bucketMs: sliceMs,
+      bucketMs,
       bucketCount: BUCKETS + HALF_WINDOW_BUCKETS,
     });
     this.retries = new BucketedCounter({
       clock,
-      bucketMs: sliceMs,
+      bucketMs,
       bucketCount: BUCKETS + 1,
     });
   }
 
-  /** Notes a call taken from a caller. */
+  /** Records a call received from a caller. */
   recordCall(): void {
     this.calls.increment();
   }
 
-  /** Room for one repeat, to be spent as it is sent or released; undefined if there is none. */
+  /**
+   * Reserves one retry, which is spent when it is sent or released; undefined if the budget is
+   * exhausted.
+   */
   reserve(purpose: RetryPurpose): RetryReservation | undefined {
     if (!this.canReserve(purpose)) return undefined;
     this.reserved += 1;
@@ -95,7 +113,7 @@
     });
   }
 
-  /** What {@link remaining} goes by. */
+  /** The values that {@link remaining} is based on. */
   get windowCounts(): WindowCounts {
     return {
       calls: sumLatest(this.calls.latestFirst(), BUCKETS),
@@ -104,16 +122,16 @@
     };
   }
 
-  /** Repeats that may still be sent now, those that are about to be sent taken off. */
+  /** Retries that may still be sent now, without the reserved ones. */
   get remaining(): number {
     const share = this.hostShareOf(SHARED_ALLOWANCE_PART);
-    const room = this.isInFirstWindow
+    const allowed = this.isInFirstWindow
       ? Math.max(
           this.earnedRetries + Math.min(STARTUP_MAX.ALLOWANCE, share),
           this.startupAllowance,
         )
       : this.earnedRetries + share;
-    return room - this.reserved;
+    return allowed - this.reserved;
   }
 
   private spend(purpose: RetryPurpose): boolean {
@@ -122,24 +140,27 @@
     return true;
   }
 
-  private canReserve({hasPartialAnswer: hasBegun}: RetryPurpose): boolean {
-    return this.remaining + (hasBegun ? this.partialAnswerAllowance : 0) >= 1;
+  private canReserve({hasPartialAnswer}: RetryPurpose): boolean {
+    return (
+      this.remaining + (hasPartialAnswer ? this.partialResponseAllowance : 0) >=
+      1
+    );
   }
 
-  private get partialAnswerAllowance(): number {
-    const share = this.hostShareOf(PARTIAL_ANSWER_ALLOWANCE_PART);
+  private get partialResponseAllowance(): number {
+    const share = this.hostShareOf(PARTIAL_RESPONSE_ALLOWANCE_PART);
     return this.isInFirstWindow
-      ? Math.min(STARTUP_MAX.PARTIAL_ANSWER_ALLOWANCE, share)
+      ? Math.min(STARTUP_MAX.PARTIAL_RESPONSE_ALLOWANCE, share)
       : share;
   }
 
-  /** What the first calls of a host that has just started may use, before they have earned it. */
+  /** Retries that the first calls of a recently started host may use before they are earned. */
   private get startupAllowance(): number {
-    const {calls: firsts, retries: repeats} = this.windowCounts;
-    if (firsts === 0) return 0;
+    const {calls, retries} = this.windowCounts;
+    if (calls === 0) return 0;
     return (
       Math.min(STARTUP_RETRIES, this.hostShareOf(SHARED_ALLOWANCE_PART)) -
-      repeats
+      retries
     );
   }
 
@@ -148,37 +169,41 @@
     return clock.now() - startedAt < windowMs;
   }
 
-  /** This host's part of the fixed allowance, or of a part of that. */
+  /** This host's share of a part of the fixed allowance. */
   private hostShareOf(part: number): number {
     const {extra, hosts} = this.options;
     return (extra() * part) / Math.max(1, hosts());
   }
 
-  /** What the calls taken leave for repeats: the least over all windows that a repeat sent now would be in. */
+  /**
+   * Retries that the received calls have earned and not used: the minimum over all windows that
+   * would contain a retry sent now.
+   */
   private get earnedRetries(): number {
-    const firsts = this.calls.latestFirst();
-    const repeats = this.retries.latestFirst();
-    const perFirst = this.options.ratio() * USED_RATIO_PART;
+    const calls = this.calls.latestFirst();
+    const retries = this.retries.latestFirst();
+    const retriesPerCall = this.options.ratio() * USED_RATIO_PART;
     let least = Infinity;
-    let repeated = 0;
-    // Only slices that are wholly in a window that begins anywhere in its first slice.
-    let within = 0;
-    let earlier = sumLatest(firsts, HALF_WINDOW_BUCKETS - 1);
-    for (let begin = 0; begin <= BUCKETS; begin++) {
-      repeated += repeats[begin];
-      if (begin > 0) within += firsts[begin - 1];
-      earlier += firsts[begin + HALF_WINDOW_BUCKETS - 1];
-      if (begin >= HALF_WINDOW_BUCKETS)
-        earlier -= firsts[begin - HALF_WINDOW_BUCKETS];
-      const paying = within + (earlier - within) * EARLIER_CALLS_PART;
-      const left = paying * perFirst - repeated;
-      if (left < least) least = left;
+    let used = 0;
+    // Counts only buckets that lie completely in a window that begins anywhere in its first bucket.
+    let windowCalls = 0;
+    let earlierCalls = sumLatest(calls, HALF_WINDOW_BUCKETS - 1);
+    for (let firstBucket = 0; firstBucket <= BUCKETS; firstBucket++) {
+      used += retries[firstBucket];
+      if (firstBucket > 0) windowCalls += calls[firstBucket - 1];
+      earlierCalls += calls[firstBucket + HALF_WINDOW_BUCKETS - 1];
+      if (firstBucket >= HALF_WINDOW_BUCKETS)
+        earlierCalls -= calls[firstBucket - HALF_WINDOW_BUCKETS];
+      const earningCalls =
+        windowCalls + (earlierCalls - windowCalls) * EARLIER_CALLS_PART;
+      const unused = earningCalls * retriesPerCall - used;
+      if (unused < least) least = unused;
     }
     return least;
   }
 }
 
-/** The sum of the first counts; a plain loop, as it is asked for each call. */
+/** Sums the latest counts; a plain loop, because it runs for each call. */
 function sumLatest(counts: readonly number[], length: number): number {
   let total = 0;
   for (let i = 0; i < length; i++) total += counts[i];
--- a/packages/decisions/src/calls/sliding_window_counter.ts
+++ b/packages/decisions/src/calls/sliding_window_counter.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@bayspool/kernel';
 import {BucketedCounter} from './bucketed_counter.js';
 
-/** Parts of the window that are forgotten one by one. */
+/** Number of buckets in the window; they expire one by one. */
 const BUCKETS = 20;
 
 interface Options {
@@ -14,20 +14,20 @@
   private readonly buckets: BucketedCounter;
 
   constructor({clock, windowMs}: Options) {
-    const sliceMs = windowMs / BUCKETS;
+    const bucketMs = windowMs / BUCKETS;
     this.buckets = new BucketedCounter({
       clock,
-      bucketMs: sliceMs,
+      bucketMs,
       bucketCount: BUCKETS,
     });
   }
 
-  /** Counts something that happened now. */
+  /** Counts an event that happens now. */
   increment(): void {
     this.buckets.increment();
   }
 
-  /** What was counted within the window. */
+  /** Number of events within the window. */
   get total(): number {
     return this.buckets.latestFirst().reduce((sum, count) => sum + count, 0);
   }
--- a/packages/decisions/src/calls/stream_event.ts
+++ b/packages/decisions/src/calls/stream_event.ts
@@ -1,7 +1,7 @@
-/** One whole event of an event stream. */
+/** One complete event of an event stream. */
 export interface StreamEvent {
-  /** As received, with the empty line that ends it. */
+  /** The bytes received, including the empty line that ends the event. */
   readonly bytes: Buffer;
-  /** The number in its `id` field, if it has one. */
+  /** The number in its `id` field, if any. */
   readonly id?: number;
 }
--- a/packages/decisions/src/calls/suspect_request.ts
+++ b/packages/decisions/src/calls/suspect_request.ts
@@ -1,45 +1,49 @@
 import type {RunnerCrash} from './runner_crash.js';
 
 interface RecordedCrash extends RunnerCrash {
+  /** When this host first learned of the crash, on its clock. */
   readonly notedAt: number;
 }
 
-/** Ends kept for one request: more than are needed where all leave doubt. */
+/**
+ * Maximum number of crashes kept for a request: more than are needed if every one of them is
+ * uncertain.
+ */
 const MAX_CRASHES = 16;
 
-/** A request that was at runners when they ended. */
+/** A request that runners had when they crashed. */
 export class SuspectRequest {
-  /** Since when it is held back, on this host's clock; undefined if it is not. */
+  /** When the request was quarantined, on this host's clock; undefined if it is not quarantined. */
   quarantinedAt: number | undefined;
-  /** Since when its ends are to be told to other hosts. */
+  /** When a crash was last added or reweighed; the request is gossiped for some time after that. */
   changedAt = -Infinity;
   private readonly recorded = new Map<number, RecordedCrash>();
-  /** Ends that count no longer; they are remembered, as other hosts go on telling them. */
+  /** Crashes that no longer count; they are remembered because other hosts still gossip them. */
   private readonly discounted = new Set<number>();
 
   constructor(readonly fingerprint: string) {}
 
-  /** The ends that count. */
+  /** The crashes that count, without the discounted ones. */
   get crashes(): readonly RecordedCrash[] {
     return [...this.recorded.values()].filter(
       ({start}) => !this.discounted.has(start),
     );
   }
 
-  /** How much its ends speak against it together. */
+  /** Total weight of its crashes. */
   get weight(): number {
     return this.weightExcluding(new Set());
   }
 
-  /** Whether it was at the end of this start of a runner, and that counts. */
+  /** Whether the request was present at the crash of this runner start, and the crash counts. */
   wasPresentAt(start: number): boolean {
     return this.recorded.has(start) && !this.discounted.has(start);
   }
 
   /**
-   * How often it came back: how many groups its ends are in, each at least a pause from the one before.
+   * Number of groups of crashes that are separated by a pause: how often the request came back.
    *
-   * @param pauseMs the pause, in ms
+   * @param pauseMs minimum time between two groups, in ms
    */
   countEpisodes(pauseMs: number): number {
     const times = this.crashes
@@ -49,13 +53,13 @@
       .length;
   }
 
-  /** Whether it was at all the ends that another one was at. */
+  /** Whether the request was present at every crash of another one. */
   coversCrashesOf(other: SuspectRequest): boolean {
     const starts = new Set(this.crashes.map(({start}) => start));
     return other.crashes.every(({start}) => starts.has(start));
   }
 
-  /** Takes in an end; of two that tell of the same one the weightier counts. */
+  /** Adds a crash; of two reports of the same crash the heavier one counts. */
   addCrash({start, weight}: RunnerCrash, now: number): void {
     const known = this.recorded.get(start);
     if (known && known.weight >= weight) return;
@@ -66,9 +70,9 @@
   }
 
   /**
-   * How much its ends speak against it together, without those that something else explains.
+   * Total weight of its crashes without those that another request explains.
    *
-   * @param minWeight ends of less weight are left out
+   * @param minWeight crashes of less weight are left out
    */
   weightExcluding(explained: ReadonlySet<number>, minWeight = 0): number {
     return this.crashes
@@ -77,13 +81,17 @@
       .reduce((sum, {weight}) => sum + weight, 0);
   }
 
-  /** What is known so far counts no longer. */
+  /** Discounts all crashes recorded so far and ends the quarantine. */
   discountCrashes(): void {
     for (const start of this.recorded.keys()) this.discounted.add(start);
     this.quarantinedAt = undefined;
   }
 
-  /** Forgets ends noted before a time. @returns whether any is left */
+  /**
+   * Forgets crashes noted before a time.
+   *
+   * @returns whether any crash is left
+   */
   forgetBefore(time: number): boolean {
     for (const {start, notedAt} of [...this.recorded.values()])
       if (notedAt < time) this.forget(start);
--- a/packages/decisions/src/calls/testing/find_limit_excess.test.ts
+++ b/packages/decisions/src/calls/testing/find_limit_excess.test.ts
@@ -11,12 +11,12 @@
 };
 const limits = [{at: 10_000, perSecond: 0.5}];
 
-/** Arrivals from a host that is bound from the start. */
+/** Arrivals from a host that is bound by the limit from the start. */
 function arrive(...times: number[]) {
   return times.map(at => ({at, boundAt: 0}));
 }
 
-void test('a window may hold what was named, some more, and no more', () => {
+void test('a window may contain the declared rate plus the tolerance, and no more', () => {
   const within = arrive(20_000, 20_001, 20_002, 23_999);
   assert.equal(
     findLimitExcess({...BOUND, limits, arrivals: within}),
@@ -30,7 +30,7 @@
   });
 });
 
-void test('windows count from a time after the first naming, with what arrived since then', () => {
+void test('windows are checked from some time after the first declaration, with the arrivals since then', () => {
   const early = arrive(10_001, 10_002, 10_003, 10_004, 10_005);
   const excess = findLimitExcess({...BOUND, limits, arrivals: early});
   assert.equal(excess?.until, 13_000);
@@ -41,7 +41,7 @@
   );
 });
 
-void test('what a host sent before it knew counts once it is bound', () => {
+void test('requests that a host sent before it learned of the limit count once it is bound', () => {
   const arrivals = Array.from({length: 5}, () => ({
     at: 13_000,
     boundAt: 15_000,
@@ -55,9 +55,9 @@
   );
 });
 
-void test('a limit that changes counts for the time in which it held', () => {
+void test('a changed limit counts for the time in which it was in force', () => {
   const changed = [...limits, {at: 20_000, perSecond: 0}];
-  // From 17.5 to 21.5 s half a request a second is named for 2.5 s: 1.875 are allowed, and one besides.
+  // From 17.5 to 21.5 s half a request per second is declared for 2.5 s: 1.875 are allowed, plus one.
   const within = arrive(19_000, 21_500);
   assert.equal(
     findLimitExcess({...BOUND, limits: changed, arrivals: within}),
--- a/packages/decisions/src/calls/testing/find_limit_excess.ts
+++ b/packages/decisions/src/calls/testing/find_limit_excess.ts
@@ -2,11 +2,14 @@
 interface Arrival {
   /** In ms. */
   readonly at: number;
-  /** From when the host that sent it has to keep to the limit, in ms; Infinity if it never heard of it. */
+  /**
+   * Time from which the sending host has to respect the limit, in ms; Infinity if it never learned
+   * of it.
+   */
   readonly boundAt: number;
 }
 
-/** A limit that a runner named, until the next one. */
+/** A limit declared by a runner, in force until the next one. */
 interface LimitDeclaration {
   /** In ms. */
   readonly at: number;
@@ -16,20 +19,20 @@
 interface Options {
   /** All arrivals at one runner, in any order. */
   readonly arrivals: readonly Arrival[];
-  /** What it named, in order, without a pause between. */
+  /** The limits that it declared, in order and without gaps. */
   readonly limits: readonly LimitDeclaration[];
-  /** When it named no limit any more, in ms. */
+  /** Time from which it declared no limit any more, in ms. */
   readonly until: number;
-  /** Time after the first naming from which windows are held against the limit, in ms. */
+  /** Time after the first declaration from which windows are checked, in ms. */
   readonly contactMs: number;
   readonly windowMs: number;
-  /** Requests allowed in a window: what was named times this, */
+  /** Factor on the declared rate that a window may reach. */
   readonly overage: number;
-  /** and so many besides. */
+  /** Requests allowed per window on top of that. */
   readonly slack: number;
 }
 
-/** A window in which more requests arrived than the runner takes. */
+/** A window in which more requests arrived than allowed. */
 interface LimitExcess {
   /** End of the window, in ms. */
   readonly until: number;
@@ -40,8 +43,10 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * The window in which the arrivals at a runner exceed what it named by most; undefined if none does. What a host sent
- * before it knew counts as soon as it is bound; what arrived before the first limit was named, when no host could know, doesn't.
+ * Finds the window in which the arrivals at a runner exceed its declared limits by most; undefined
+ * if none does. Requests that a host sent before it learned of the limit count from the time at
+ * which it is bound by it. Arrivals before the first declaration do not count, as no host could
+ * know of it.
  */
 export function findLimitExcess(options: Options): LimitExcess | undefined {
   const {arrivals, limits, until, contactMs, windowMs} = options;
@@ -67,16 +72,16 @@
   end: number,
   {limits, windowMs, overage, slack}: Options,
 ): number {
-  let named = 0;
+  let declared = 0;
   for (const [index, {at, perSecond}] of limits.entries()) {
     const from = Math.max(end - windowMs, index === 0 ? -Infinity : at);
     const to = Math.min(end, limits[index + 1]?.at ?? Infinity);
-    named += (Math.max(0, to - from) / MS_PER_SECOND) * perSecond;
+    declared += (Math.max(0, to - from) / MS_PER_SECOND) * perSecond;
   }
-  return named * overage + slack;
+  return declared * overage + slack;
 }
 
-/** How many arrivals there were over those that are allowed. */
+/** Number of arrivals above the allowed one. */
 function excessOf(window: LimitExcess | undefined): number {
   return window ? window.arrived - window.allowed : 0;
 }
--- a/packages/decisions/src/calls/testing/find_retry_excess.test.ts
+++ b/packages/decisions/src/calls/testing/find_retry_excess.test.ts
@@ -12,7 +12,7 @@
   return times.map(at => ({id, at}));
 }
 
-void test('retries are allowed by the requests of a window, and some besides', () => {
+void test('the allowed retries grow with the requests of a window, plus a fixed allowance', () => {
   const sentAt = [1, 2];
   const within = arrive('a', 1, 100, 200);
   assert.equal(
@@ -24,13 +24,13 @@
   assert.deepEqual(excess, {until: 300, retries: 3, allowed: 2});
 });
 
-void test('a window slides, and counts only what arrived in it', () => {
+void test('a sliding window counts only the arrivals within it', () => {
   const sentAt = [1, 2];
   const arrivals = arrive('a', 1, 100, 200, 10_101);
   assert.equal(findRetryExcess({...BOUND, arrivals, sentAt}), undefined);
 });
 
-void test('requests of the window before pay for the retries of a window too', () => {
+void test('requests of the previous window also pay for the retries of a window', () => {
   const arrivals = arrive('a', 1, 15_000, 15_001);
   const late = {...BOUND, arrivals, sentAt: [6_000, 6_001]};
   assert.equal(findRetryExcess(late), undefined);
@@ -38,13 +38,14 @@
   assert.equal(findRetryExcess(early)?.allowed, 1);
 });
 
-void test('every position of a window counts, not only those that end with a retry', () => {
+void test('every position of the window is checked, not only those that end with a retry', () => {
   const sentAt = [1, 9_000];
   const arrivals = [
     ...arrive('a', 1, 9_100),
     ...arrive('b', 9_000, 9_200, 9_300),
   ];
-  // A window that ends with the last retry holds both requests; of one that begins before 9,000 ms each of the three holds one.
+  // The window that ends with the last retry contains both requests. One that begins later, but before 9,000 ms, contains
+  // one, and so does each earlier window that may pay for it.
   const excess = findRetryExcess({...BOUND, extra: 2.2, arrivals, sentAt});
   assert.equal(excess?.retries, 3);
   assert.equal(excess?.allowed, 2.7);
--- a/packages/decisions/src/calls/testing/find_retry_excess.ts
+++ b/packages/decisions/src/calls/testing/find_retry_excess.ts
@@ -6,18 +6,21 @@
 }
 
 interface Options {
-  /** All arrivals of a service's requests, in any order; also those that were turned away. */
+  /** All arrivals of a service's requests, in any order, including refused ones. */
   readonly arrivals: readonly Arrival[];
-  /** When callers sent a request for the service, in ms, in any order; also those that never arrived. */
+  /**
+   * Times at which callers sent requests for the service, in ms, in any order, including requests
+   * that never arrived.
+   */
   readonly sentAt: readonly number[];
   /** Retries allowed per request. */
   readonly ratio: number;
-  /** Retries allowed besides. */
+  /** Fixed allowance of retries per window. */
   readonly extra: number;
   readonly windowMs: number;
 }
 
-/** A window in which there were more retries than are allowed. */
+/** A window with more retries than allowed. */
 interface RetryExcess {
   /** End of the window, in ms. */
   readonly until: number;
@@ -25,16 +28,20 @@
   readonly allowed: number;
 }
 
-/** Windows whose requests may pay for a window's retries begin this much earlier, in windows. */
+/**
+ * How much earlier the windows begin whose requests may pay for the retries of a window, in
+ * windows.
+ */
 const EARNING_WINDOW_OFFSETS = [0, 0.5, 1];
 
-/** Least difference between two times, in ms. */
+/** Smallest difference between two times, in ms. */
 const INSTANT_MS = 1e-6;
 
 /**
- * The window in which the retries of a service exceed what is allowed by most; undefined if none does. A retry is an
- * arrival beyond the first of its request. What is allowed goes by the requests sent in that window, the one before it
- * or the one half a window earlier, whichever had most.
+ * Finds the window in which the retries of a service exceed the allowed number by most; undefined
+ * if none does. A retry is any arrival of a request after its first. The allowed number depends on
+ * the requests sent in that window, in the one before it or in the one half a window earlier,
+ * whichever has most.
  */
 export function findRetryExcess(options: Options): RetryExcess | undefined {
   const {arrivals, windowMs} = options;
@@ -52,7 +59,10 @@
   return worst;
 }
 
-/** Ends of the windows at which a retry comes in or is still in, or a request that would pay for it is so no more. */
+/**
+ * Ends of the windows that a retry enters or is about to leave, or that a request which would pay
+ * for it has just left.
+ */
 function findCandidateEnds(
   retries: readonly number[],
   sentAt: readonly number[],
@@ -65,12 +75,12 @@
   return [...retries, ...lastOfRetries, ...withoutRequest];
 }
 
-/** How many retries there were over those that are allowed. */
+/** Number of retries above the allowed one. */
 function excessOf(window: RetryExcess | undefined): number {
   return window ? window.retries - window.allowed : 0;
 }
 
-/** Times of the arrivals beyond the first of each request, in order. */
+/** Times of the arrivals of each request after its first, in order. */
 function findRetries(arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   const inOrder = [...arrivals].sort((a, b) => a.at - b.at);
@@ -94,7 +104,7 @@
   return ratio * Math.max(...counts) + extra;
 }
 
-/** How many of the times lie after `from` and not after `until`. */
+/** Number of times after `from` and up to `until`. */
 function countIn(
   times: readonly number[],
   from: number,
@@ -103,7 +113,7 @@
   return countUpTo(times, until) - countUpTo(times, from);
 }
 
-/** How many of the times, which are in order, are not after one. */
+/** Number of the sorted times up to a given one. */
 function countUpTo(times: readonly number[], time: number): number {
   let low = 0;
   let high = times.length;
--- a/packages/decisions/src/calls/testing/index.ts
+++ b/packages/decisions/src/calls/testing/index.ts
@@ -1,3 +1,3 @@
-/** Support for tests of what is decided on calls. */
+/** Test support for the decision logic on routed calls. */
 export {findLimitExcess} from './find_limit_excess.js';
 export {findRetryExcess} from './find_retry_excess.js';
--- a/packages/decisions/src/calls/testing/retry_simulation.ts
+++ b/packages/decisions/src/calls/testing/retry_simulation.ts
@@ -6,13 +6,13 @@
 interface Options {
   readonly random: RandomSource;
   readonly hosts: number;
-  /** Requests a second at all hosts together. */
+  /** Requests per second at all hosts together. */
   readonly perSecond: number;
-  /** Longest time until a runner has failed a request, in ms. */
-  readonly mostWorkMs: number;
-  /** Longest time until a connection for a retry is there, in ms. */
-  readonly mostConnectMs: number;
-  /** Retries that all hosts together may send. */
+  /** Maximum time until a runner has failed a request, in ms. */
+  readonly maxWorkMs: number;
+  /** Maximum time to connect for a retry, in ms. */
+  readonly maxConnectMs: number;
+  /** Bound on the retries of all hosts together. */
   readonly bound: RetryBound;
 }
 
@@ -27,24 +27,24 @@
   readonly at: number;
 }
 
-/** One life of a host. */
+/** A host between two restarts. */
 interface HostRun {
   readonly budget: SharedRetryBudget;
-  /** Most hosts that it ever took to share the allowance. */
+  /** Largest number of hosts that it ever believed to share the allowance. */
   maxBelievedHosts: number;
-  /** What happens to it waits until then, in ms. */
+  /** Events at the host are delayed until this time, in ms. */
   pausedUntil: number;
 }
 
-/** Runners that one request may reach. */
+/** Maximum number of runners that a request may reach. */
 const MAX_ATTEMPTS = 3;
-/** Share of the requests of which a caller holds a piece when they fail. */
-const PARTIAL_ANSWER_SHARE = 0.5;
+/** Share of failing requests whose caller has received part of the response. */
+const PARTIAL_RESPONSE_SHARE = 0.5;
 const MS_PER_SECOND = 1_000;
 
 /**
- * Hosts with a budget each, whose runners fail all they run, on a virtual clock: what arrives at the runners is as much
- * as the budgets let through.
+ * Simulates hosts with a retry budget each, whose runners fail every request, on a virtual clock.
+ * The arrivals at the runners are as many as the budgets allow.
  */
 export class RetrySimulation {
   private readonly clock = new VirtualClock();
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Lets callers send for a time.
+   * Lets callers send requests for some time.
    *
-   * @param indices hosts that they send to; all if left out
+   * @param indices hosts that they send to; all by default
    */
   run(forMs: number, indices = [...this.hosts.keys()]): void {
     const until = this.clock.now() + forMs;
@@ -72,32 +72,32 @@
   }
 
   /**
-   * Ends a host with all it has in hand, and starts it again.
+   * Restarts a host; requests in progress are lost.
    *
-   * @param believed hosts that it takes to share the allowance from then on
+   * @param believedHosts number of hosts that it believes to share the allowance afterwards
    */
-  restartHost(index: number, believed = this.options.hosts): void {
-    this.hosts[index] = this.createHost(believed);
+  restartHost(index: number, believedHosts = this.options.hosts): void {
+    this.hosts[index] = this.createHost(believedHosts);
   }
 
-  /** Sets how many hosts a host takes to share the allowance. */
+  /** Sets the number of hosts that a host believes to share the allowance. */
   setBelievedHosts(index: number, hosts: number): void {
     const host = this.hosts[index];
     host.maxBelievedHosts = Math.max(host.maxBelievedHosts, hosts);
   }
 
-  /** A host stands still. */
+  /** Pauses a host. */
   pauseHost(index: number, forMs: number): void {
     this.hosts[index].pausedUntil = this.clock.now() + forMs;
   }
 
-  /** The worst window in which there were more retries than are allowed; undefined if there was none. */
+  /** The window that exceeds the allowed retries by most; undefined if none does. */
   findExcess(): ReturnType<typeof findRetryExcess> {
     const {arrivals, sentAt, options} = this;
     return findRetryExcess({...options.bound, arrivals, sentAt});
   }
 
-  private createHost(believed: number): HostRun {
+  private createHost(believedHosts: number): HostRun {
     const {ratio, extra, windowMs} = this.options.bound;
     const budget: SharedRetryBudget = new SharedRetryBudget({
       clock: this.clock,
@@ -107,7 +107,11 @@
       startedAt: this.clock.now(),
       hosts: () => host.maxBelievedHosts,
     });
-    const host: HostRun = {budget, maxBelievedHosts: believed, pausedUntil: 0};
+    const host: HostRun = {
+      budget,
+      maxBelievedHosts: believedHosts,
+      pausedUntil: 0,
+    };
     return host;
   }
 
@@ -124,19 +128,22 @@
   private sendAttempt(host: HostRun, id: string, count: number): void {
     this.arrivals.push({id, at: this.clock.now()});
     if (count === MAX_ATTEMPTS) return;
-    const {random, mostWorkMs, mostConnectMs} = this.options;
-    const workMs = random.next() * mostWorkMs;
-    const hasBegun = random.next() < PARTIAL_ANSWER_SHARE;
+    const {random, maxWorkMs, maxConnectMs} = this.options;
+    const workMs = random.next() * maxWorkMs;
+    const hasPartialAnswer = random.next() < PARTIAL_RESPONSE_SHARE;
     this.scheduleAtHost(host, workMs, () => {
-      const reservation = host.budget.reserve({hasPartialAnswer: hasBegun});
+      const reservation = host.budget.reserve({hasPartialAnswer});
       if (!reservation) return;
-      this.scheduleAtHost(host, random.next() * mostConnectMs, () => {
+      this.scheduleAtHost(host, random.next() * maxConnectMs, () => {
         if (reservation.spend()) this.sendAttempt(host, id, count + 1);
       });
     });
   }
 
-  /** Does something at a host after a delay, once it does not stand still; not if it was started again meanwhile. */
+  /**
+   * Runs an action at a host after a delay, or when its pause ends; drops it if the host has
+   * restarted meanwhile.
+   */
   private scheduleAtHost(
     host: HostRun,
     delayMs: number,
@@ -144,8 +151,8 @@
   ): void {
     this.clock.after(delayMs, () => {
       if (!this.hosts.includes(host)) return;
-      const frozenMs = host.pausedUntil - this.clock.now();
-      if (frozenMs > 0) this.scheduleAtHost(host, frozenMs, action);
+      const pausedMs = host.pausedUntil - this.clock.now();
+      if (pausedMs > 0) this.scheduleAtHost(host, pausedMs, action);
       else action();
     });
   }
--- a/packages/decisions/src/calls/testing/sample_route.ts
+++ b/packages/decisions/src/calls/testing/sample_route.ts
@@ -1,7 +1,7 @@
 import {CallKind} from '../call_kind.js';
 import type {CallRoute} from '../call_route.js';
 
-/** A route with two models, whose streams may be resumed. */
+/** A route with two models whose streams are resumable. */
 export const sampleRoute: CallRoute = {
   name: 'r',
   hostName: 'a.example',
--- a/packages/decisions/src/calls/version_outcomes.ts
+++ b/packages/decisions/src/calls/version_outcomes.ts
@@ -1,9 +1,9 @@
-/** What callers got from one version, summed over routes and hosts. */
+/** Outcomes of calls to one version, summed over routes and hosts. */
 export interface VersionOutcomes {
-  /** Answers and attempts that ended. */
+  /** Completed responses and attempts. */
   readonly ended: number;
-  /** Those that failed: errors of the runner, broken or silent answers. */
+  /** Those that failed: runner errors, and broken or silent responses. */
   readonly failed: number;
-  /** Those much slower than the other version is for the same route and model. */
+  /** Those much slower than the other version is on the same route and model. */
   readonly slow: number;
 }
--- a/packages/decisions/src/calls/weigh_runner_crash.ts
+++ b/packages/decisions/src/calls/weigh_runner_crash.ts
@@ -1,43 +1,47 @@
-/** How far a request had come at a runner whose connection then broke off. */
+/** State of an attempt when the connection to its runner broke. */
 interface InterruptedAttempt {
-  /** Whether answers of its kind are streams: the head of one comes when its run begins. */
+  /**
+   * Whether the response is streamed: the head of a streamed response arrives when its run starts.
+   */
   readonly isStreamed: boolean;
-  /** Whether the head of the answer had come. */
+  /** Whether the head of the response had arrived. */
   readonly hasHead: boolean;
-  /** Whether a piece of its body had come. */
+  /** Whether any part of the body had arrived. */
   readonly hasBodyBytes: boolean;
-  /** Time from the head of the answer to the end, in ms; 0 without a head. */
+  /** Time from the head of the response to the break, in ms; 0 without a head. */
   readonly sinceHeadMs: number;
-  /** Whether the runner had no other request then, as far as is known. */
+  /** Whether the runner had no other request at the time, as far as is known. */
   readonly isAlone: boolean;
 }
 
-/** A run that was begun and gave nothing, or the only one there: what a request looks like under which runners end. */
+/**
+ * Weight of a run that had started without output, or was the only one on its runner: the typical
+ * picture of a request that crashes runners.
+ */
 const CERTAIN_WEIGHT = 1;
 /**
- * A run that may have been begun, beside others: whole answers give no sign before they are done. A request would have to be at
- * ten such ends, and is answered before if it only waits.
+ * Weight of a run that may have started, beside others: a response that is not streamed gives no
+ * sign until it is done. It takes ten such crashes to quarantine a request, and one that only waits
+ * is answered before that.
  */
 const UNCERTAIN_WEIGHT = 0.3;
-/** Time after its begin in which a run that has given pieces may still be what ended its runner, in ms. */
+/**
+ * Time after the start of a run within which it may still have crashed its runner although it
+ * produced output, in ms.
+ */
 const EARLY_CRASH_MS = 500;
 
 /**
- * How much the end of a runner speaks against a request that it had, 0 to 1. Counting all ends alike condemned requests
- * that only waited at the same runners: of 148 requests seen at ends that one of them caused, that one was begun and
- * had given nothing at 11 of 13, the others at one at most, while another one waited at five.
+ * Weighs how strongly a runner crash counts against a request that the runner had, 0 to 1. Counting
+ * all crashes alike quarantined requests that only waited at the same runners. Of 148 requests seen
+ * at crashes that one of them caused, that one had started without output at 11 of 13 crashes and
+ * the others at one at most, while another one was waiting at five.
  */
-export function weighRunnerCrash(run: InterruptedAttempt): number {
-  const {
-    isStreamed,
-    hasHead,
-    hasBodyBytes: hasPieces,
-    sinceHeadMs,
-    isAlone,
-  } = run;
+export function weighRunnerCrash(attempt: InterruptedAttempt): number {
+  const {isStreamed, hasHead, hasBodyBytes, sinceHeadMs, isAlone} = attempt;
   if (!isStreamed)
     return hasHead ? 0 : isAlone ? CERTAIN_WEIGHT : UNCERTAIN_WEIGHT;
   if (!hasHead) return 0;
-  if (!hasPieces) return CERTAIN_WEIGHT;
+  if (!hasBodyBytes) return CERTAIN_WEIGHT;
   return sinceHeadMs < EARLY_CRASH_MS ? UNCERTAIN_WEIGHT : 0;
 }
--- a/packages/decisions/src/calls/weighted_service.ts
+++ b/packages/decisions/src/calls/weighted_service.ts
@@ -1,6 +1,6 @@
-/** A service that takes a part of a route's calls. */
+/** A service that receives part of a route's calls. */
 export interface WeightedService {
   readonly service: string;
-  /** Relative to the other services of the route; 0 or more. */
+  /** Weight relative to the other services of the route; 0 or more. */
   readonly weight: number;
 }
