--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -132,12 +132,12 @@
    */
   private decideVersion(
     progress: CallProgress,
-    available: readonly Runner[],
+    eligible: readonly Runner[],
   ): VersionPreference {
     const {call, triedRunners, startedByVersion, failedVersions} = progress;
     if (
       startedByVersion !== undefined &&
-      this.hasRunnerOfVersion(startedByVersion, call, available)
+      this.hasRunnerOfVersion(startedByVersion, call, eligible)
     ) {
       if (progress.unreachableCount < MAX_UNREACHABLE)
         return {
@@ -155,7 +155,7 @@
       session: call.session,
       failedVersions,
       hasUntriedRunner: version =>
-        available.some(
+        eligible.some(
           ({entry}) => entry.version === version && !triedRunners.has(entry.id),
         ),
     });
@@ -168,7 +168,7 @@
   private hasRunnerOfVersion(
     version: string,
     {service}: IncomingCall,
-    available: readonly Runner[],
+    eligible: readonly Runner[],
   ): boolean {
     const rollout = this.options.rollouts.get(service);
     if (
@@ -176,7 +176,7 @@
       rollout.order.version !== version
     )
       return false;
-    return available.some(({entry}) => entry.version === version);
+    return eligible.some(({entry}) => entry.version === version);
   }
 
   /**
--- a/packages/gateway/src/calls/attempt_timing.ts
+++ b/packages/gateway/src/calls/attempt_timing.ts
@@ -7,7 +7,7 @@
   /** Total duration of the attempt, in ms. */
   readonly durationMs: number;
   readonly expectedLatencyMs: number;
-  /** Whether the runner had little other prompt processing queued. */
+  /** Whether the runner had little other prefill work queued. */
   readonly isUnloaded: boolean;
   /** Whether the runner had stopped sending on all connections. */
   readonly wasSilent: boolean;
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -63,8 +63,8 @@
 }
 
 /**
- * Queued work of other calls, relative to a prompt's own, up to which its latency is a sample of
- * the engine's prompt processing rate.
+ * Maximum queued work of other calls, as a share of a prompt's own, with which the prompt's latency
+ * still serves as a sample of the engine's prefill rate.
  */
 const MAX_OTHER_WORK_SHARE = 0.3;
 
--- a/packages/gateway/src/calls/silence_timeout.test.ts
+++ b/packages/gateway/src/calls/silence_timeout.test.ts
@@ -16,7 +16,7 @@
   return {kind, latencyTargetMs: 200, pauseTargetMs: 1_000} as CallRoute;
 }
 
-void test('no silence below the shortest timeout expires it, under any other conditions', () => {
+void test('no silence below the shortest timeout is too long, whatever the other conditions', () => {
   const runner = {isQuiet: true, usualFirstByteMs: 0} as Runner;
   for (const kind of KINDS) {
     const route = routeOf(kind);
--- a/packages/gateway/src/calls/streams.test.ts
+++ b/packages/gateway/src/calls/streams.test.ts
@@ -229,16 +229,16 @@
     latencyTargetMs: 8_000,
     pauseTargetMs: 8_000,
   });
-  const versionsAsked: string[] = [];
+  const requestedVersions: string[] = [];
   first.script = other.script = (request, response) => {
-    versionsAsked.push('v1');
-    if (versionsAsked.length > 1) return streamAll(request, response);
+    requestedVersions.push('v1');
+    if (requestedVersions.length > 1) return streamAll(request, response);
     writeHead(request.id, response);
     response.write(event(1) + event(2));
     setTimeout(() => request.socket.destroy(), ROLLOUT_MS * 0.78);
   };
   fresh.script = (request, response) => {
-    versionsAsked.push('v2');
+    requestedVersions.push('v2');
     streamAll(request, response);
   };
   fixture.store.put(Topic.OPERATOR, 'rollout/svc', {
@@ -250,7 +250,7 @@
   const session = {[names.session]: 'session'};
   const result = await fixture.call({headers: session});
   assert.equal(result.body, ALL_EVENTS);
-  assert.deepEqual(versionsAsked, ['v1', 'v1']);
+  assert.deepEqual(requestedVersions, ['v1', 'v1']);
 });
 
 // When a rollout completed, the platform stopped the old runners immediately, and callers lost the
@@ -281,18 +281,18 @@
 // The same while the entries of the stopped runners still exist: four streams were lost on such a
 // day, each after its host had tried ten of these runners within a tenth of a second.
 void test('a started stream continues at another version when the runners of its own are unreachable', async () => {
-  const gone = Array.from(
+  const unreachable = Array.from(
     {length: 12},
     (_, i) => new ScriptedRunner({id: `gone-${i}`}),
   );
   const fresh = new ScriptedRunner({id: 'fresh', version: 'v2'});
-  await serve([first, fresh, ...gone], {timeLimitMs: 8_000});
-  for (const runner of [fresh, ...gone]) runner.script = streamAll;
+  await serve([first, fresh, ...unreachable], {timeLimitMs: 8_000});
+  for (const runner of [fresh, ...unreachable]) runner.script = streamAll;
   first.script = (request, response) => {
     writeHead(request.id, response);
     response.write(event(1) + event(2));
     setTimeout(() => {
-      for (const runner of [first, ...gone]) runner.stop();
+      for (const runner of [first, ...unreachable]) runner.stop();
     }, 300);
   };
   let result = await fixture.call();
