--- a/packages/gateway/src/peers/peer_synchronizer.ts
+++ b/packages/gateway/src/peers/peer_synchronizer.ts
@@ -59,7 +59,7 @@
 const BOUND_MARGIN_MS = 600;
 /**
  * How long a host stays a fallback reader once its data was stale, in ms: longer than a typical fault. A host that
- * read again only when its data is stale would learn of a new configuration that much later.
+ * read the store only while its data is stale would learn of a new configuration that much later.
  */
 const FALLBACK_MS = 10_000;
 /**
