--- a/packages/gateway/src/rollouts/answer_times.ts
+++ b/packages/gateway/src/rollouts/answer_times.ts
@@ -1,9 +1,9 @@
-/** How long an answer took, in ms, as far as it came. */
+/** Measured and expected timing of one response, in ms; the response may be incomplete. */
 export interface AnswerTimes {
-  /** To the first byte. */
+  /** Time to the first byte. */
   readonly firstMs?: number;
-  /** To the first byte, as it was expected by prompt, model and load; 0 where nothing tells. */
+  /** Time to the first byte expected from prompt, model and load; 0 if there is no estimate. */
   readonly expectedMs: number;
-  /** From one event to the next on average; only of answers with several events. */
+  /** Mean time between two events; set only for responses with several events. */
   readonly eventMs?: number;
 }
--- a/packages/gateway/src/rollouts/baseline.ts
+++ b/packages/gateway/src/rollouts/baseline.ts
@@ -1,22 +1,22 @@
-/** Answers of the old version before its time is known well enough. */
+/** Responses of the old version needed before the mean is used. */
 const MIN_SAMPLES = 5;
-/** Weight of one answer in the old version's mean. */
+/** Least weight of a new value in the exponential moving average. */
 const SMOOTHING_FACTOR = 0.1;
 
-/** What something usually is on the old version. */
+/** Exponential moving average of a value observed on the old version. */
 export class Baseline {
   private estimate = 0;
   private count = 0;
 
-  /** Its mean; undefined while it is not known. */
+  /** The moving average; undefined until enough values were observed. */
   get mean(): number | undefined {
     return this.count < MIN_SAMPLES ? undefined : this.estimate;
   }
 
-  /** Takes one answer of the old version into account. */
+  /** Adds the value of one response of the old version. */
   observe(value: number): void {
     this.count += 1;
-    const rate = Math.max(SMOOTHING_FACTOR, 1 / this.count);
-    this.estimate += rate * (value - this.estimate);
+    const weight = Math.max(SMOOTHING_FACTOR, 1 / this.count);
+    this.estimate += weight * (value - this.estimate);
   }
 }
--- a/packages/gateway/src/rollouts/call_rate.ts
+++ b/packages/gateway/src/rollouts/call_rate.ts
@@ -9,24 +9,24 @@
   readonly total: number;
 }
 
-/** Pause between two samples, in ms. */
+/** Minimum interval between two samples, in ms. */
 const SAMPLE_INTERVAL_MS = 250;
-/** Samples kept: the last 1.5 seconds, so that a surge is known before it has used up what a version may get. */
+/** Samples kept: the last 1.5 seconds, so that a surge is detected before it uses up the calls allowed for a version. */
 const MAX_SAMPLES = 7;
 
-/** Shorter times tell chance rather than a rate, in ms. */
+/** Shortest interval from which a rate is computed, in ms; over shorter ones the rate is mostly noise. */
 const MIN_MEASURED_MS = 500;
 
-/** How fast a count grows: the higher one of the rates of the last seconds and of all the time. */
+/** Estimates the growth rate of a counter: the higher of its recent rate and its overall rate. */
 export class CallRate {
   private readonly samples: Sample[] = [];
 
   constructor(private readonly options: Options) {}
 
   /**
-   * Takes the count as it is now, and tells how fast it grows, a ms.
+   * Records the current value of the counter and returns its growth rate per ms.
    *
-   * @param elapsedMs time in which it grew from 0
+   * @param elapsedMs time in which the counter grew from 0, in ms
    */
   measurePerMs(total: number, elapsedMs: number): number {
     const at = this.options.clock.now();
@@ -45,7 +45,7 @@
 }
 
 function computeRate(from: Sample, to: Sample): number {
-  const forMs = to.at - from.at;
-  if (forMs < MIN_MEASURED_MS) return 0;
-  return Math.max(0, to.total - from.total) / forMs;
+  const intervalMs = to.at - from.at;
+  if (intervalMs < MIN_MEASURED_MS) return 0;
+  return Math.max(0, to.total - from.total) / intervalMs;
 }
--- /dev/null
+++ b/packages/gateway/src/rollouts/cell_outcomes.ts
@@ -0,0 +1,6 @@
+/** Mutable counts of one version's attempts on one route with one model. */
+export interface CellOutcomes {
+  ended: number;
+  failed: number;
+  slow: number;
+}
--- a/packages/gateway/src/rollouts/exposure_under_faults.test.ts
+++ b/packages/gateway/src/rollouts/exposure_under_faults.test.ts
@@ -1,42 +1,42 @@
-/** The story is told in exposure.test.ts; here hosts restart or are cut off, and calls come faster meanwhile. */
+/** The exposure bounds of exposure.test.ts while hosts restart or are cut off, and while call rates surge. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {RolloutScenarios} from '../testing/rollout_scenarios.js';
 import type {RolloutWorld} from '../testing/rollout_world.js';
 import {SoundVersion} from '../testing/sound_version.js';
 
-/** How many times the usual rate calls come at in a surge, and for how long, in ms. */
-const SURGE_TIMES = 2.5;
+/** Call rate during a surge as a multiple of the usual rate, and the duration of a surge in ms. */
+const SURGE_FACTOR = 2.5;
 const SURGE_MS = 4_000;
-/** Parts of the time limit at which a surge begins. */
+/** Start of a surge as a part of the rollout duration. */
 const SURGE_PARTS = [0.3, 0.55, 0.7, 0.85];
-/** Calls in a second with which surges and faults are played. */
+/** Call rates of the simulations with surges and host faults, in calls per second. */
 const RATES = [5, 15, 80];
 const HOSTS = [0, 1, 2, 3, 4, 5, 6];
 
 const {badVersions} = RolloutScenarios;
 
-function surgeAt(part: number) {
+function createSurge(part: number) {
   return (durationMs: number) => (elapsedMs: number) => {
     const sinceMs = elapsedMs - part * durationMs;
-    return sinceMs >= 0 && sinceMs < SURGE_MS ? SURGE_TIMES : 1;
+    return sinceMs >= 0 && sinceMs < SURGE_MS ? SURGE_FACTOR : 1;
   };
 }
 
-/** What happens to the hosts, or to the rate of calls. */
-interface Trouble {
-  readonly surge?: ReturnType<typeof surgeAt>;
+/** A disturbance of the hosts or of the call rate. */
+interface Disturbance {
+  readonly surge?: ReturnType<typeof createSurge>;
   readonly prepare?: (world: RolloutWorld) => void;
 }
 
-/** Plays a version whose fault does not show, and one that fails seldom, and tells where they got too much. */
-async function play({surge, prepare}: Trouble): Promise<string[]> {
+/** Simulates a version whose fault never shows and one that fails seldom; returns the scenarios with too many calls. */
+async function findExcess({surge, prepare}: Disturbance): Promise<string[]> {
   const excess: string[] = [];
-  for (const what of [
+  for (const fault of [
     'fails under a load that does not come',
     'fails seldom',
   ]) {
-    const version = badVersions[what];
+    const version = badVersions[fault];
     const scenarios = new RolloutScenarios({
       version,
       surge,
@@ -45,14 +45,14 @@
     for (const scenario of scenarios.all()) {
       prepare?.(scenario.world);
       await scenario.world.play();
-      const told = RolloutScenarios.tellExcess(scenario);
-      excess.push(...told.map(text => `${what}: ${text}`));
+      const texts = RolloutScenarios.tellExcess(scenario);
+      excess.push(...texts.map(text => `${fault}: ${text}`));
     }
   }
   return excess;
 }
 
-void test('a good version is complete in time at any rate of calls, and its sessions move once', async () => {
+void test('a good version completes in time at any call rate, and its sessions move once', async () => {
   const scenarios = new RolloutScenarios({version: () => new SoundVersion()});
   for (const {name, world} of scenarios.all()) {
     await world.play();
@@ -61,8 +61,8 @@
   }
 });
 
-void test('a bad version gets its part of the calls at most while calls surge, hosts restart or are cut off', async () => {
-  const surges = SURGE_PARTS.map(part => ({surge: surgeAt(part)}));
+void test('a bad version stays within its exposure bounds while call rates surge and hosts restart or are cut off', async () => {
+  const surges = SURGE_PARTS.map(part => ({surge: createSurge(part)}));
   const restarts = (world: RolloutWorld) => {
     for (const host of HOSTS)
       world.at(2_000 * (host + 1), () => world.restart(host));
@@ -73,7 +73,7 @@
     world.at(12_000, () => world.cutOff([0, 1, 2], false));
   };
   const excess: string[] = [];
-  for (const trouble of [...surges, {prepare: restarts}, {prepare: cuts}])
-    excess.push(...(await play(trouble)));
+  for (const disturbance of [...surges, {prepare: restarts}, {prepare: cuts}])
+    excess.push(...(await findExcess(disturbance)));
   assert.deepEqual(excess, []);
 });
--- a/packages/gateway/src/rollouts/log_rollout_counts.ts
+++ b/packages/gateway/src/rollouts/log_rollout_counts.ts
@@ -2,7 +2,7 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {Rollout} from './rollout.js';
 
-/** Writes what all hosts gave the versions of a roll-out so far and saw of them. */
+/** Logs a rollout's shares, and the attempts and outcomes of both versions at all hosts so far. */
 export function logRolloutCounts(log: EventLog, rollout: Rollout): void {
   const {service, version} = rollout.order;
   const {fresh, old} = rollout.tallies;
--- a/packages/gateway/src/rollouts/merge_rollout_digests.ts
+++ b/packages/gateway/src/rollouts/merge_rollout_digests.ts
@@ -5,7 +5,7 @@
 
 type Cells = RolloutDigest['fresh'];
 
-/** The sum of two digests of one service; the newer order wins. */
+/** Sums two digests of one service; if they are for different orders, returns the one for the newer order. */
 export function mergeRolloutDigests(
   a: RolloutDigest,
   b: RolloutDigest,
@@ -31,8 +31,8 @@
 function mergeCells(a: Cells, b: Cells): Cells {
   const sum: Record<string, readonly [number, number, number]> = {...a};
   for (const [name, [ended, failed, slow]] of Object.entries(b)) {
-    const before = sum[name] ?? [0, 0, 0];
-    sum[name] = [before[0] + ended, before[1] + failed, before[2] + slow];
+    const counts = sum[name] ?? [0, 0, 0];
+    sum[name] = [counts[0] + ended, counts[1] + failed, counts[2] + slow];
   }
   return sum;
 }
--- a/packages/gateway/src/rollouts/merge_share_steps.ts
+++ b/packages/gateway/src/rollouts/merge_share_steps.ts
@@ -1,6 +1,6 @@
 import type {ShareSteps} from './share_steps.js';
 
-/** The steps of several hosts together: a share holds from when the first of them says. */
+/** Merges the share steps of two hosts; a share takes effect at the earliest time that either host set for it. */
 export function mergeShareSteps(
   a: ShareSteps = {},
   b: ShareSteps = {},
--- a/packages/gateway/src/rollouts/recent_evidence.ts
+++ b/packages/gateway/src/rollouts/recent_evidence.ts
@@ -8,7 +8,7 @@
   readonly clock: Clock;
 }
 
-/** What was seen of both versions. */
+/** Outcome counts of both versions. */
 interface Evidence {
   readonly fresh: Cells;
   readonly old: Cells;
@@ -19,21 +19,21 @@
 }
 
 const ZERO_COUNTS: Counts = [0, 0, 0];
-/** Pause between two snapshots, in ms. */
+/** Minimum interval between two snapshots, in ms. */
 const SNAPSHOT_INTERVAL_MS = 500;
-/** Snapshots kept: evidence of the last three seconds, in which a fault that shows now gives some tens of bad answers. */
+/** Snapshots kept: those of the last three seconds, in which a fault that shows now causes some tens of bad responses. */
 const MAX_SNAPSHOTS = 7;
 
 /**
- * What hosts saw of the two versions lately. A fault that shows late, or under load, would be diluted by all good answers
- * before it.
+ * Computes the outcome counts of the last seconds from cumulative counts. In the cumulative counts, a fault that shows late
+ * or only under load would be diluted by all earlier good responses.
  */
 export class RecentEvidence {
   private readonly snapshots: Snapshot[] = [];
 
   constructor(private readonly options: Options) {}
 
-  /** Takes all that was seen so far, and gives what of it is recent. */
+  /** Records the cumulative counts and returns their recent part. */
   update({fresh, old}: Evidence): Evidence {
     const at = this.options.clock.now();
     const last = this.snapshots.at(-1);
@@ -42,7 +42,7 @@
     const [first] = this.snapshots;
     return {
       fresh: subtractCells(fresh, first.fresh, () => ZERO_COUNTS),
-      // Held against no answers of the old version, a few bad ones of the new version would look like a fault.
+      // Compared with zero responses of the old version, a few bad responses of the new version would look like a fault.
       old: subtractCells(old, first.old, counts => counts),
     };
   }
@@ -54,21 +54,28 @@
 }
 
 /**
- * What was counted since. Counts go back when a host's are not told any more, and then tell nothing of the time since.
+ * Returns the difference of two sets of cumulative counts. A sum over hosts decreases when the digest of a host is missing
+ * from it; the difference then says nothing about the time in between.
  *
- * @param whenBack what is taken in place of counts that went back
+ * @param onDecrease returns the counts to use for a cell whose counts decreased
  */
 function subtractCells(
   now: Cells,
   before: Cells,
-  whenBack: (counts: Counts) => Counts,
+  onDecrease: (counts: Counts) => Counts,
 ): Cells {
   const recent: Record<string, Counts> = {};
   for (const [name, counts] of Object.entries(now)) {
     const [ended, failed, slow] = before[name] ?? ZERO_COUNTS;
-    const grown = [counts[0] - ended, counts[1] - failed, counts[2] - slow];
-    const isWhole = grown.every(count => count >= 0);
-    recent[name] = isWhole ? [grown[0], grown[1], grown[2]] : whenBack(counts);
+    const difference = [
+      counts[0] - ended,
+      counts[1] - failed,
+      counts[2] - slow,
+    ];
+    const isMonotonic = difference.every(count => count >= 0);
+    recent[name] = isMonotonic
+      ? [difference[0], difference[1], difference[2]]
+      : onDecrease(counts);
   }
   return recent;
 }
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -25,44 +25,44 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly order: RolloutOrder;
-  /** Time since the order when this host learned of it, in ms. */
+  /** Age of the order when this host learned of it, in ms. */
   readonly elapsedMs: number;
-  /** Whether this host learned of the order when it was new; else the time is worked out from a time of day. */
+  /** Whether this host learned of the order as it was made; otherwise the age is computed from the wall clock. */
   readonly isSeen: boolean;
-  /** Position in the topic of states from which they are about this order. */
+  /** Offset in the topic of states from which states belong to this order. */
   readonly statesFrom: number;
-  /** How much of the service's calls the new version may get until the limit. */
+  /** How many of the service's calls the new version may get until the deadline of the rollout. */
   readonly exposureBounds?: ExposureBounds;
-  /** Hosts that live, this one included. */
+  /** Returns the number of live hosts, including this one. */
   readonly hostCount?: () => number;
 }
 
-/** What holds where the platform sets no bound: the calls in which a version that is bad can be told from a good one. */
+/** Used where the platform sets no bounds: enough calls to tell a bad version from a good one. */
 const DEFAULT_EXPOSURE_BOUNDS: ExposureBounds = {share: 0.15, calls: 30};
-/** How long what was summed of all hosts' evidence is used again, in ms: it is asked for with each call. */
+/** How long the summary of all hosts' evidence is cached, in ms; every call needs it. */
 const SUMMARY_TTL_MS = 100;
 /**
- * How long a host that did not see an order waits for others to tell its age, in ms: one that is asked for what it
- * knows now answers at once. A clock that is ahead by seconds would end the watch of a new version
- * early; a longer wait would keep sessions on the old version that others have moved.
+ * How long a host that did not see an order arrive waits for its peers to report the age, in ms; a peer that is asked answers
+ * at once. Without the wait, a wall clock that is seconds ahead would end the canary phase early; a longer wait would keep
+ * sessions on the old version that other hosts have already moved.
  */
 const PEER_AGE_TIMEOUT_MS = 300;
 
-/** One roll-out as this host knows it. */
+/** A rollout as this host knows it: its age and phase, the evidence on both versions, and the share of the new one. */
 export class Rollout {
-  /** What this host itself saw of the two versions. */
+  /** Evidence on both versions from the attempts of this host. */
   readonly evidence = new RolloutEvidence();
-  /** Whether it goes on, and else how it ended. */
+  /** The current phase: active, or how the rollout ended. */
   phase: RolloutPhase = RolloutPhase.ACTIVE;
-  /** Position behind the state that ended it, in the topic of states; 0 while it is active. */
+  /** Offset after the state that ended the rollout, in the topic of states; 0 while it is active. */
   offsetAfterEnd = 0;
-  /** What the other hosts told, summed. */
+  /** Sum of the digests of the other hosts. */
   remoteDigest: RolloutDigest | undefined;
-  /** Position in the topic of states from which they are about this order; earlier ones are not. */
+  /** Offset in the topic of states from which states belong to this order; earlier ones belong to previous orders. */
   statesFrom: number;
   private startedAt: number;
   private isSeen: boolean;
-  /** Whether another host told an age, so that this host's own time of day does not count. */
+  /** Whether a peer reported the age, which takes precedence over this host's wall clock. */
   private isAgeFromPeer = false;
   private readonly learnedAt: number;
   private hasBadVerdict = false;
@@ -85,48 +85,51 @@
     this.summary = {good: 0, isSuspect: false};
     this.exposure = new RolloutExposure({
       bounds: options.exposureBounds ?? DEFAULT_EXPOSURE_BOUNDS,
-      facts: () => this.facts(this.rates.update(this.sent, this.elapsedMs)),
-      ownFacts: () =>
-        this.facts(this.ownRates.update(this.evidence.sent, this.elapsedMs)),
+      progress: () =>
+        this.createProgress(this.rates.update(this.sent, this.elapsedMs)),
+      ownProgress: () =>
+        this.createProgress(
+          this.ownRates.update(this.evidence.sent, this.elapsedMs),
+        ),
       hostCount: options.hostCount ?? (() => 1),
     });
   }
 
-  /** The order that started it. */
+  /** The order that started the rollout. */
   get order(): RolloutOrder {
     return this.options.order;
   }
 
-  /** Time since the order, in ms; 0 while this host does not know it. */
+  /** Time since the order, in ms; 0 while this host does not know the age. */
   get elapsedMs(): number {
     return this.isAgeKnown ? this.options.clock.now() - this.startedAt : 0;
   }
 
   /**
-   * Whether this host knows how old the order is: it saw it arrive, another host told, or nobody did for so
-   * long that a time of day has to do. Until then the new version gets its least share, and no sessions.
+   * Whether this host knows the age of the order: it saw the order arrive, a peer reported the age, or no peer did in time and
+   * the wall clock has to serve. Until then the new version gets its smallest share, and no sessions.
    */
   get isAgeKnown(): boolean {
     if (this.isSeen || this.isAgeFromPeer) return true;
     return this.options.clock.now() - this.learnedAt >= PEER_AGE_TIMEOUT_MS;
   }
 
-  /** Whether this host or another one judged the new version worse than the old one. */
+  /** Whether this host or another one found the new version worse than the old one. */
   get isBad(): boolean {
     return this.hasBadVerdict;
   }
 
-  /** Whether the new version was found bad, by hosts or by the store's account, and gets no calls. */
+  /** Whether the new version gets no calls because the hosts found it bad or the store says that it was reverted. */
   get isRolledBack(): boolean {
     return this.phase === RolloutPhase.REVERTED || this.hasBadVerdict;
   }
 
-  /** Whether the new version seems to fail more than the old one, though it is not judged yet. */
+  /** Whether the new version seems to fail more than the old one, with or without a verdict. */
   get isSuspect(): boolean {
     return isVersionSuspect(this.tallies);
   }
 
-  /** The share of calls that the new version gets now, 0 to 1. */
+  /** Returns the share of calls that the new version gets now, 0 to 1. */
   shareOf({hasSession}: {readonly hasSession: boolean}): number {
     if (this.isRolledBack) return 0;
     if (this.phase === RolloutPhase.COMPLETE) return 1;
@@ -139,58 +142,57 @@
     return this.exposure.isUnderExposureLimit;
   }
 
-  /** Whether the new version only gets some calls now, by which it is watched. */
+  /** Whether the rollout is in its canary phase, in which the new version gets only a part of the calls. */
   get isCanary(): boolean {
     const isActive = this.phase === RolloutPhase.ACTIVE;
     return isActive && !this.exposure.isMovingAll;
   }
 
-  /** Whether it may be complete, while so many calls still run on the old version. */
+  /** Whether the rollout may complete, given the number of calls still running on the old version. */
   mayComplete(oldRunning: number): boolean {
     return this.exposure.mayComplete(oldRunning);
   }
 
-  /** Takes over how it ended, and where the state that says so stands. */
+  /** Records the final phase and the offset of the state that holds it. */
   markEnded(phase: RolloutPhase, offset: number): void {
     this.phase = phase;
     this.offsetAfterEnd = offset + 1;
   }
 
   /**
-   * Takes over how long ago another host says that the order was made. Hosts that saw it arrive only know a
-   * time that is too short, so the longest one holds; it goes before any time that was worked out from a time
-   * of day, since that may have jumped by seconds.
+   * Merges the age that another host reports. A host that saw the order arrive can only underestimate the age, so the longest
+   * such age wins. It takes precedence over any age computed from the wall clock, which may have jumped by seconds.
    */
-  mergeAge(told: RolloutAge): void {
-    if (!hasKnownAge(told)) return;
-    const {elapsedMs, isSeen} = told;
+  mergeAge(remote: RolloutAge): void {
+    if (!hasKnownAge(remote)) return;
+    const {elapsedMs, isSeen} = remote;
     const startedAt = this.options.clock.now() - elapsedMs;
-    const isAlike = isSeen === this.isSeen && this.isAgeKnown;
-    if (isAlike) this.startedAt = Math.min(this.startedAt, startedAt);
+    const isSameSource = isSeen === this.isSeen && this.isAgeKnown;
+    if (isSameSource) this.startedAt = Math.min(this.startedAt, startedAt);
     else if (!this.isSeen) this.startedAt = startedAt;
     this.isSeen ||= isSeen;
     this.isAgeFromPeer = true;
   }
 
-  /** Takes over what the other hosts told, summed over them. */
-  applyRemoteDigest(told: RolloutDigest): void {
-    this.remoteDigest = told;
-    this.mergeAge(told);
-    this.exposure.mergeSteps(told.shares);
+  /** Applies the sum of the digests of the other hosts. */
+  applyRemoteDigest(remote: RolloutDigest): void {
+    this.remoteDigest = remote;
+    this.mergeAge(remote);
+    this.exposure.mergeSteps(remote.shares);
   }
 
-  /** Takes over what the note in the store and this host's time of day say, while nobody told better. */
+  /** Applies an age computed from the start record and the wall clock, unless a better one is known. */
   applyWallClockElapsed(elapsedMs: number): void {
     if (this.isSeen || this.isAgeFromPeer) return;
     const startedAt = this.options.clock.now() - elapsedMs;
     this.startedAt = Math.min(this.startedAt, startedAt);
   }
 
-  /** What this host itself saw, for the others. */
+  /** Returns the digest that this host sends to the others. */
   createDigest(oldRunning: number): RolloutDigest {
     return {
       offset: this.order.offset,
-      // Rounded down: told as older than it is, it would raise the share of others.
+      // Rounded down, since an age that is too high would raise the share at other hosts.
       elapsedMs: Math.floor(this.elapsedMs),
       isSeen: this.isSeen,
       isBad: this.hasBadVerdict,
@@ -206,7 +208,7 @@
     };
   }
 
-  /** Attempts at the new version and at the others since the order, at all hosts as far as this one knows. */
+  /** Attempts sent to the new version and to the others since the order, at all hosts as far as this one knows. */
   get sent(): {readonly fresh: number; readonly old: number} {
     const {fresh, old} = this.evidence.sent;
     return {
@@ -215,7 +217,7 @@
     };
   }
 
-  /** What all hosts saw of the two versions, on all routes together. */
+  /** Outcomes of both versions at all hosts, summed over all routes. */
   get tallies(): {
     readonly fresh: VersionOutcomes;
     readonly old: VersionOutcomes;
@@ -227,18 +229,18 @@
     };
   }
 
-  /** Judges the new version by the evidence of all hosts, on all routes and on each one. */
-  judge(): void {
+  /** Evaluates the new version by the evidence of all hosts, over all cells together and for each cell. */
+  evaluate(): void {
     if (this.hasBadVerdict || this.phase !== RolloutPhase.ACTIVE) return;
     const all = this.combineDigests();
     if (all.isBad) return this.markBad('told by another host', all);
     const recent = this.recentEvidence.update(all);
     this.hasLikelyRegression = this.detectLikelyRegression(all, recent);
-    this.judgeCells(all, 'all answers');
-    this.judgeCells({...all, ...recent}, 'recent answers', all);
+    this.evaluateCells(all, 'all answers');
+    this.evaluateCells({...all, ...recent}, 'recent answers', all);
   }
 
-  /** Whether lately, or on one route, the new version fails more than the old one. */
+  /** Whether the new version fails more than the old one recently, or in one cell. */
   private detectLikelyRegression(
     all: RolloutDigest,
     recent: Pick<RolloutDigest, 'fresh'>,
@@ -254,30 +256,39 @@
   }
 
   /**
-   * Judges by all routes together and by each one: a version may be bad on one of them.
+   * Evaluates all cells together and each one separately, since a version may be bad on one route only.
    *
-   * @param usual all that was seen of the old version: what fails by turns fails seldom in some seconds, and a few failures of the
-   *     new version in these are no difference
+   * @param usual cumulative counts of the old version. Where failures of both versions come in bursts, the old version has few in
+   *     some seconds; a few failures of the new version in those seconds are no difference
    */
-  private judgeCells(
+  private evaluateCells(
     seen: RolloutDigest,
-    of: string,
+    evidence: string,
     usual: Pick<RolloutDigest, 'old'> = seen,
   ): void {
     if (this.hasBadVerdict) return;
     const names = Object.keys(seen.fresh);
-    for (const chosen of [names, ...names.map(name => [name])]) {
-      const fresh = sumCells(seen.fresh, chosen);
-      const old = sumCells(seen.old, chosen);
+    for (const cellNames of [names, ...names.map(name => [name])]) {
+      const fresh = sumCells(seen.fresh, cellNames);
+      const old = sumCells(seen.old, cellNames);
       if (evaluateVersion({fresh, old}) !== 'bad') continue;
-      if (evaluateVersion({fresh, old: sumCells(usual.old, chosen)}) !== 'bad')
+      if (
+        evaluateVersion({fresh, old: sumCells(usual.old, cellNames)}) !== 'bad'
+      )
         continue;
-      return this.markBad(`${of}, ${chosen.join(' ')}`, seen, fresh, old);
+      return this.markBad(
+        `${evidence}, ${cellNames.join(' ')}`,
+        seen,
+        fresh,
+        old,
+      );
     }
   }
 
-  /** What hosts know together, as far as this one has heard, with some of their counts. */
-  private facts(counts: ReturnType<VersionRates['update']>): RolloutProgress {
+  /** Combines counts with what is known about the rollout from all hosts. */
+  private createProgress(
+    counts: ReturnType<VersionRates['update']>,
+  ): RolloutProgress {
     this.refreshSummary();
     return {
       ...counts,
@@ -299,7 +310,7 @@
     this.summary = {good, isSuspect: isVersionSuspect({fresh, old})};
   }
 
-  /** The evidence of all hosts. */
+  /** Returns the digest of this host merged with those of the others. */
   private combineDigests(): RolloutDigest {
     const own = this.createDigest(0);
     return this.remoteDigest
@@ -308,7 +319,7 @@
   }
 
   private markBad(
-    where: string,
+    evidence: string,
     all: RolloutDigest,
     fresh = sumAllCells(all.fresh),
     old = sumAllCells(all.old),
@@ -318,7 +329,7 @@
     this.options.log.write('rollout_judged', {
       service,
       version,
-      verdict: `bad: ${where}`,
+      verdict: `bad: ${evidence}`,
       newEnded: fresh.ended,
       newFailed: fresh.failed,
       newSlow: fresh.slow,
@@ -330,7 +341,7 @@
   }
 }
 
-/** Counts by cell; what is overdue counts as an answer that is slow. */
+/** Returns the counts by cell; an overdue attempt counts as a slow response. */
 function toDigestCells(
   cells: RolloutEvidence['fresh'],
   overdue: ReadonlyMap<string, number>,
@@ -338,8 +349,8 @@
   const counts: Record<string, readonly [number, number, number]> = {};
   for (const name of new Set([...cells.keys(), ...overdue.keys()])) {
     const {ended = 0, failed = 0, slow = 0} = cells.get(name) ?? {};
-    const late = overdue.get(name) ?? 0;
-    counts[name] = [ended + late, failed, slow + late];
+    const overdueCount = overdue.get(name) ?? 0;
+    counts[name] = [ended + overdueCount, failed, slow + overdueCount];
   }
   return counts;
 }
--- a/packages/gateway/src/rollouts/rollout_age.ts
+++ b/packages/gateway/src/rollouts/rollout_age.ts
@@ -1,7 +1,7 @@
-/** How long ago a roll-out was ordered, and how that is known. */
+/** Age of a rollout, and how the age was determined. */
 export interface RolloutAge {
-  /** Time since the order, in ms; 0 from a host that does not know it. */
+  /** Time since the order, in ms; 0 from a host that does not know the age. */
   readonly elapsedMs: number;
-  /** Whether some host saw the order arrive; else the time was worked out from a time of day. */
+  /** Whether some host saw the order arrive; otherwise the age was computed from the wall clock. */
   readonly isSeen: boolean;
 }
--- a/packages/gateway/src/rollouts/rollout_controller.test.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, beforeEach, test} from 'node:test';
 import {RolloutFixture} from '../testing/rollout_fixture.js';
 
-/** Time that a write to the store takes, in ms: longer than the pause between two looks of the writer. */
+/** Duration of a write to the store, in ms: longer than the interval between two reconciliations. */
 const SLOW_WRITE_MS = 500;
 
 let fixture: RolloutFixture;
@@ -14,7 +14,7 @@
 
 afterEach(() => fixture.stop());
 
-void test('a version found bad while its start is being written is announced before it is taken back', async () => {
+void test('a version found bad while its start is being written is announced before it is reverted', async () => {
   fixture.store.appendMs = SLOW_WRITE_MS;
   fixture.breakFresh();
   fixture.order({durationMs: 20_000});
@@ -26,7 +26,7 @@
   assert.deepEqual(fixture.phases(), ['active', 'reverted']);
 });
 
-void test('roll-outs of two services ordered at once are both announced', async () => {
+void test('rollouts of two services ordered at once are both announced', async () => {
   fixture.store.appendMs = SLOW_WRITE_MS;
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
--- a/packages/gateway/src/rollouts/rollout_controller.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -17,26 +17,26 @@
   readonly store: RecordStore;
   readonly reader: WireReader;
   readonly host: string;
-  /** Hosts that are taken to live, this one included. */
+  /** Returns the names of the hosts believed to be live, including this one. */
   readonly liveHosts: () => readonly string[];
-  /** Requests of this host that run on other versions than the roll-out's. */
+  /** Returns the number of this host's requests that run on versions other than the rollout's. */
   readonly oldRunning: (rollout: Rollout) => number;
-  /** Notes in the store when a roll-out began. */
+  /** Writes the start record of a rollout to the store. */
   readonly recordStart: (rollout: Rollout) => Promise<void>;
 }
 
-/** Pause between two looks at what is to be written, in ms. */
+/** Interval between two reconciliations while a rollout is active, in ms. */
 const ACTIVE_INTERVAL_MS = 200;
-/** The same while no roll-out is active: each look wakes an idle process. */
+/** The same while no rollout is active, in ms; longer, since each one wakes an idle process. */
 const IDLE_INTERVAL_MS = 500;
-/** Least pause between two lines of what was given to the versions of a roll-out, in ms. */
+/** Minimum interval between two log entries with the counts of a rollout, in ms. */
 const COUNTS_LOG_INTERVAL_MS = 1_000;
-/** How long each next host waits for the one before it to write, in ms. */
+/** How long each host waits for the host ranked before it to write, in ms. */
 const TAKEOVER_DELAY_MS = 900;
-/** Pause after a failed write, in ms. */
+/** Delay before a failed write is retried, in ms. */
 const RETRY_DELAY_MS = 500;
 
-/** Judges roll-outs, and tells the store their phases: one host writes, the others stand by. */
+/** Evaluates rollouts and writes their phases to the store; one host writes, the others stand by to take over. */
 export class RolloutController {
   private timer: Timer | undefined;
   private readonly phaseDueSince = new Map<Rollout, number>();
@@ -46,33 +46,33 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Starts to write the states of roll-outs where it is for this host to do. */
+  /** Starts the periodic reconciliation of all rollouts. */
   start(): void {
-    const {rollouts: book, clock} = this.options;
-    const isActive = book
+    const {rollouts, clock} = this.options;
+    const isActive = rollouts
       .all()
       .some(({phase}) => phase === RolloutPhase.ACTIVE);
     this.timer = clock.after(
       isActive ? ACTIVE_INTERVAL_MS : IDLE_INTERVAL_MS,
       () => {
-        for (const rollout of book.all()) this.reconcile(rollout);
+        for (const rollout of rollouts.all()) this.reconcile(rollout);
         this.start();
       },
     );
   }
 
-  /** Stops writing. */
+  /** Stops the periodic reconciliation. */
   stop(): void {
     this.timer?.cancel();
   }
 
   private reconcile(rollout: Rollout): void {
-    rollout.judge();
+    rollout.evaluate();
     if (rollout.phase !== RolloutPhase.ACTIVE) return;
     this.logCounts(rollout);
-    // What is due meanwhile, of this roll-out or another one, is looked at again after the pause.
+    // Writes of this or another rollout that become due meanwhile wait for the next reconciliation.
     if (this.isWriting) return;
-    // A start that is noted by a host that does not know the age would mislead all that restart later.
+    // A start record written by a host that does not know the age would be wrong for all hosts that restart later.
     if (!rollout.isAgeKnown) return;
     if (!this.announced.has(rollout) && this.rankOwnHost(rollout) === 0) {
       void this.writeExclusively(() => this.announceStart(rollout));
@@ -84,16 +84,16 @@
       return;
     }
     const now = this.options.clock.now();
-    const since = this.phaseDueSince.get(rollout) ?? now;
-    this.phaseDueSince.set(rollout, since);
-    if (now - since < this.rankOwnHost(rollout) * TAKEOVER_DELAY_MS) return;
-    void this.writeExclusively(() => this.write(rollout, phase));
+    const dueSince = this.phaseDueSince.get(rollout) ?? now;
+    this.phaseDueSince.set(rollout, dueSince);
+    if (now - dueSince < this.rankOwnHost(rollout) * TAKEOVER_DELAY_MS) return;
+    void this.writeExclusively(() => this.writePhase(rollout, phase));
   }
 
   private logCounts(rollout: Rollout): void {
     const {clock, log} = this.options;
-    const countedAt = this.countsLoggedAt.get(rollout) ?? -Infinity;
-    if (clock.now() - countedAt < COUNTS_LOG_INTERVAL_MS) return;
+    const loggedAt = this.countsLoggedAt.get(rollout) ?? -Infinity;
+    if (clock.now() - loggedAt < COUNTS_LOG_INTERVAL_MS) return;
     this.countsLoggedAt.set(rollout, clock.now());
     logRolloutCounts(log, rollout);
   }
@@ -107,14 +107,14 @@
   }
 
   private rankOwnHost(rollout: Rollout): number {
-    const {liveHosts: hosts, host} = this.options;
+    const {liveHosts, host} = this.options;
     const {service, offset} = rollout.order;
-    return rankByHash(`${service}|${offset}`, hosts()).indexOf(host);
+    return rankByHash(`${service}|${offset}`, liveHosts()).indexOf(host);
   }
 
   /**
-   * Writes while no other write of this host is under way. Without it, the end of a roll-out went before its
-   * announcement if it came within a write of it, and of two roll-outs ordered at once one was never announced.
+   * Runs a write and blocks other writes of this host meanwhile. Without this, a rollout that ended while its announcement was
+   * being written had its end written first, and of two rollouts ordered at once one was never announced.
    */
   private async writeExclusively(write: () => Promise<void>): Promise<void> {
     this.isWriting = true;
@@ -131,22 +131,25 @@
     try {
       await this.options.recordStart(rollout);
     } catch (error) {
-      // Only a hint for hosts that restart: without it they count from when they learn of the order.
+      // The start record is optional: without it, hosts that restart count from when they learn of the order.
       this.options.log.write('unexpected', {
-        where: 'start of a roll-out',
+        where: 'rollout start record',
         message: String(error),
       });
     }
-    await this.write(rollout, RolloutPhase.ACTIVE);
+    await this.writePhase(rollout, RolloutPhase.ACTIVE);
   }
 
-  private async write(rollout: Rollout, phase: RolloutPhase): Promise<void> {
+  private async writePhase(
+    rollout: Rollout,
+    phase: RolloutPhase,
+  ): Promise<void> {
     const {log, store, reader} = this.options;
     const {service, version} = rollout.order;
     try {
-      const isOpen = await this.reloadStates(rollout);
-      if (!isOpen) return;
-      // Another host announced it a moment ago.
+      const isStillActive = await this.reloadStates(rollout);
+      if (!isStillActive) return;
+      // Another host has announced the rollout in the meantime.
       if (
         phase === RolloutPhase.ACTIVE &&
         this.options.rollouts.findState(rollout)
@@ -167,7 +170,7 @@
     }
   }
 
-  /** Reads the states anew, so that a phase once final is never replaced. */
+  /** Reloads the states, so that a final phase is never overwritten; returns whether the rollout is still active. */
   private async reloadStates(rollout: Rollout): Promise<boolean> {
     const {clock, store, states} = this.options;
     const asOf = clock.now();
--- a/packages/gateway/src/rollouts/rollout_counts.test.ts
+++ b/packages/gateway/src/rollouts/rollout_counts.test.ts
@@ -30,27 +30,36 @@
   return rollout;
 }
 
-function tell(rollout: Rollout) {
+function createLoadDigest(rollout: Rollout) {
   return {runners: {}, rollouts: {svc: rollout.createDigest(0)}};
 }
 
-void test('what all hosts sent to the two versions is summed, without what a host told itself', () => {
+void test('attempts of all hosts are summed per version, without counting those of the own host twice', () => {
   const own = createRollout(2, 10);
   const other = createRollout(3, 20);
-  const sum = mergeLoadDigests([tell(own), tell(other)]);
-  own.remoteDigest = subtractLoadDigest(sum, tell(own)).rollouts.svc;
+  const sum = mergeLoadDigests([
+    createLoadDigest(own),
+    createLoadDigest(other),
+  ]);
+  own.remoteDigest = subtractLoadDigest(
+    sum,
+    createLoadDigest(own),
+  ).rollouts.svc;
   assert.deepEqual(own.sent, {fresh: 5, old: 30});
 });
 
-void test('a host of an earlier version that tells no counts adds none', () => {
+void test('a digest without counts, from a host that runs an earlier release, adds nothing', () => {
   const own = createRollout(2, 10);
-  const {freshSent, oldSent, ...earlier} = createRollout(3, 20).createDigest(0);
+  const {freshSent, oldSent, ...withoutCounts} = createRollout(
+    3,
+    20,
+  ).createDigest(0);
   assert.deepEqual([freshSent, oldSent], [3, 20]);
-  own.remoteDigest = earlier;
+  own.remoteDigest = withoutCounts;
   assert.deepEqual(own.sent, {fresh: 2, old: 10});
 });
 
-void test('a line tells what was given to the versions and what was seen of them', () => {
+void test('the log entry holds the attempts and outcomes of both versions', () => {
   const rollout = createRollout(2, 10);
   rollout.evidence.recordEnded('route/', true, true, {expectedMs: 0});
   logRolloutCounts(log, rollout);
--- a/packages/gateway/src/rollouts/rollout_digest.ts
+++ b/packages/gateway/src/rollouts/rollout_digest.ts
@@ -1,20 +1,20 @@
 import type {RolloutAge} from './rollout_age.js';
 import type {ShareSteps} from './share_steps.js';
 
-/** Counts by cell: ended, failed, slow. */
+/** Counts of ended, failed and slow attempts by cell, which is a pair of route and model. */
 type Cells = Record<string, readonly [number, number, number]>;
 
-/** What hosts tell each other of a roll-out. */
+/** State of a rollout that hosts exchange; `fresh` stands for the new version. */
 export interface RolloutDigest extends RolloutAge {
-  /** Which order is meant. */
+  /** Offset of the order in its topic, which identifies the rollout. */
   readonly offset: number;
-  /** Whether some host judged the new version bad. */
+  /** Whether a host found the new version bad. */
   readonly isBad: boolean;
-  /** The steps of the share of sessions that the new version gets; hosts of an earlier version tell none. */
+  /** Steps of the new version's share of sessions; absent in digests from hosts that run an earlier release. */
   readonly shares?: ShareSteps;
-  /** Requests that still run on the old version. */
+  /** Requests still running on the old version. */
   readonly oldRunning: number;
-  /** Attempts at the new version so far, and at the others; hosts of an earlier version tell none. */
+  /** Attempts sent to the new version and to the others so far; absent in digests from hosts that run an earlier release. */
   readonly freshSent?: number;
   readonly oldSent?: number;
   readonly fresh: Cells;
--- a/packages/gateway/src/rollouts/rollout_evidence.ts
+++ b/packages/gateway/src/rollouts/rollout_evidence.ts
@@ -1,83 +1,84 @@
 import type {VersionOutcomes} from '@bayspool/decisions/calls';
 import type {AnswerTimes} from './answer_times.js';
 import {Baseline} from './baseline.js';
-import type {CellTally} from './cell_tally.js';
+import type {CellOutcomes} from './cell_outcomes.js';
 
-/** An attempt whose first byte is awaited. */
+/** An attempt that waits for its first byte. */
 interface AwaitedAttempt {
   readonly cellName: string;
   readonly isFresh: boolean;
-  /** Time to the first byte as it was expected, in ms. */
+  /** Expected time to the first byte, in ms. */
   readonly expectedMs: number;
-  /** How long it has been awaited, in ms; undefined once the first byte came. */
+  /** Returns the time waited so far, in ms; undefined once the first byte has arrived. */
   readonly waitedMs: () => number | undefined;
 }
 
-/** The least time to a first byte that is expected, in ms: a step of a loaded engine, and the way. */
+/** Lower bound for the expected time to a first byte, in ms: one step of a loaded engine plus network latency. */
 const MIN_EXPECTED_MS = 30;
-/** How many times the old version's delay over what was expected is slow. */
+/** A first byte is slow if its relative delay exceeds this multiple of the old version's mean. */
 const SLOW_FIRST_FACTOR = 2.5;
-/** Delays that are not worth counting as slow, in ms: a caller hardly notices them. */
+/** A first byte that is late by no more than this, in ms, never counts as slow: a caller hardly notices it. */
 const MIN_SLOW_FIRST_EXCESS_MS = 60;
-/** How many times the old version's time between two events is slow: it hardly differs between answers. */
+/** Events are slow if the time between them exceeds this multiple of the old version's mean, which hardly varies between responses. */
 const SLOW_EVENT_FACTOR = 2;
-/** Times between two events that are not worth counting as slow, in ms. */
+/** A time between two events of at most this, in ms, never counts as slow. */
 const MIN_SLOW_EVENT_MS = 30;
-/** All answers to prompts are compared together, since what is expected of each goes by its length. */
+/** Key of the one baseline for all responses to prompts: their expected times already account for prompt length. */
 const PROMPTS_BASELINE = 'prompts';
 
-/** What this host saw of the two versions of a roll-out, by route and model. */
+/** Outcomes of both versions of a rollout as seen by this host, counted by cell, which is a pair of route and model. */
 export class RolloutEvidence {
-  readonly fresh = new Map<string, CellTally>();
-  readonly old = new Map<string, CellTally>();
-  /** Attempts at the new version so far, and at the others. */
+  readonly fresh = new Map<string, CellOutcomes>();
+  readonly old = new Map<string, CellOutcomes>();
+  /** Attempts sent to the new version so far, and to the others. */
   readonly sent = {fresh: 0, old: 0};
   private readonly firstByteBaselines = new Map<string, Baseline>();
   private readonly eventBaselines = new Map<string, Baseline>();
   private readonly awaitedAttempts = new Set<AwaitedAttempt>();
 
-  /** Counts an attempt that begins: what a version got is known before it answers. */
+  /** Counts an attempt when it begins, so that the count does not wait for the response. */
   recordSent(isFresh: boolean): void {
     this.sent[isFresh ? 'fresh' : 'old'] += 1;
   }
 
   /**
-   * Watches an attempt until it ends: a slow version would tell on itself last, since its answers are the last to come.
+   * Tracks an attempt while it runs. If only ended attempts counted, a slow version would be detected last, as its responses
+   * arrive last.
    *
-   * @returns what is to be called at its end
+   * @returns the function to call when the attempt ends
    */
   trackAttempt(attempt: AwaitedAttempt): () => void {
     this.awaitedAttempts.add(attempt);
     return () => this.awaitedAttempts.delete(attempt);
   }
 
-  /** Counts an attempt that tells of its version. */
+  /** Counts an ended attempt whose outcome says something about its version. */
   recordEnded(
     cellName: string,
     isFresh: boolean,
     hasFailed: boolean,
     times: AnswerTimes,
   ): void {
-    const cell = this.getOrCreateTally(cellName, isFresh);
+    const cell = this.getOrCreateOutcomes(cellName, isFresh);
     cell.ended += 1;
     if (hasFailed) cell.failed += 1;
     if (this.isSlow(cellName, times)) cell.slow += 1;
     if (!isFresh) this.updateBaselines(cellName, times);
   }
 
-  /** Counts an attempt that its caller or a time limit ended, if it had been awaited for so long that it was slow. */
+  /** Counts an attempt that its caller or a time limit ended as slow if it had waited long enough; otherwise ignores it. */
   recordUnanswered(
     cellName: string,
     isFresh: boolean,
     times: AnswerTimes,
   ): void {
     if (!this.isSlow(cellName, times)) return;
-    const cell = this.getOrCreateTally(cellName, isFresh);
+    const cell = this.getOrCreateOutcomes(cellName, isFresh);
     cell.ended += 1;
     cell.slow += 1;
   }
 
-  /** Attempts of a version that are awaited now for so long that they are slow already, by cell. */
+  /** Counts the running attempts of a version that have already waited long enough to be slow, by cell. */
   countOverdue(isFresh: boolean): Map<string, number> {
     const counts = new Map<string, number>();
     for (const attempt of this.awaitedAttempts) {
@@ -92,18 +93,19 @@
 
   private isSlow(cellName: string, times: AnswerTimes): boolean {
     const {firstMs = 0, eventMs = 0, expectedMs} = times;
-    const usual = this.firstByteBaselines.get(
+    const usualDelay = this.firstByteBaselines.get(
       getBaselineKey(cellName, times),
     )?.mean;
     const usualEventMs = this.eventBaselines.get(cellName)?.mean;
-    const isLate =
-      usual !== undefined &&
+    const hasSlowFirstByte =
+      usualDelay !== undefined &&
       firstMs - expectedMs > MIN_SLOW_FIRST_EXCESS_MS &&
-      computeRelativeDelay(firstMs, expectedMs) > usual * SLOW_FIRST_FACTOR;
-    const isDragging =
+      computeRelativeDelay(firstMs, expectedMs) >
+        usualDelay * SLOW_FIRST_FACTOR;
+    const hasSlowEvents =
       usualEventMs !== undefined &&
       eventMs > Math.max(MIN_SLOW_EVENT_MS, usualEventMs * SLOW_EVENT_FACTOR);
-    return isLate || isDragging;
+    return hasSlowFirstByte || hasSlowEvents;
   }
 
   private updateBaselines(cellName: string, times: AnswerTimes): void {
@@ -118,17 +120,17 @@
       getOrCreateBaseline(this.eventBaselines, cellName).observe(eventMs);
   }
 
-  private getOrCreateTally(name: string, isFresh: boolean): CellTally {
+  private getOrCreateOutcomes(name: string, isFresh: boolean): CellOutcomes {
     const cells = isFresh ? this.fresh : this.old;
     const known = cells.get(name);
     if (known) return known;
-    const cell: CellTally & VersionOutcomes = {ended: 0, failed: 0, slow: 0};
+    const cell: CellOutcomes & VersionOutcomes = {ended: 0, failed: 0, slow: 0};
     cells.set(name, cell);
     return cell;
   }
 }
 
-/** How many times longer than expected a first byte took. */
+/** Returns the time to a first byte as a multiple of the expected time. */
 function computeRelativeDelay(firstMs: number, expectedMs: number): number {
   return firstMs / Math.max(MIN_EXPECTED_MS, expectedMs);
 }
--- a/packages/gateway/src/rollouts/rollout_exposure.ts
+++ b/packages/gateway/src/rollouts/rollout_exposure.ts
@@ -13,98 +13,103 @@
 
 interface Options {
   readonly bounds: ExposureBounds;
-  /** What hosts know together now. */
-  readonly facts: () => RolloutProgress;
-  /** The same with the counts of this host alone. */
-  readonly ownFacts: () => RolloutProgress;
-  /** Hosts that live, this one included. */
+  /** Returns the current progress, with the counts of all hosts. */
+  readonly progress: () => RolloutProgress;
+  /** Returns the current progress, with the counts of this host only. */
+  readonly ownProgress: () => RolloutProgress;
+  /** Returns the number of live hosts, including this one. */
   readonly hostCount: () => number;
 }
 
-/** The share at which all calls go to the new version. */
+/** The share that sends all calls to the new version. */
 const FULL_SHARE = 1;
 
-/** How many of a service's calls go to the new version of a roll-out, by what is known of it. */
+/** Decides how many of a service's calls go to the new version of a rollout, based on what is known about it. */
 export class RolloutExposure {
   private readonly sessionSchedule = new SessionShareSchedule();
 
   constructor(private readonly options: Options) {}
 
-  /** The share of sessions that are to be on the new version now, 0 to 1. */
+  /** The current share of sessions on the new version, 0 to 1. */
   get sessionShare(): number {
-    const facts = this.updateSchedule();
-    const {elapsedMs, durationMs, isSuspect} = facts;
-    if (!canShiftSessions(facts)) return 0;
-    // Hosts hear of the end one after the other: sessions went back at the next host without this.
+    const progress = this.updateSchedule();
+    const {elapsedMs, durationMs, isSuspect} = progress;
+    if (!canShiftSessions(progress)) return 0;
+    // Hosts learn of the completion one after the other; without this, sessions went back to the old version at a host that had
+    // not learned of it yet.
     if (elapsedMs >= computeLatestCompletionMs(durationMs) && !isSuspect)
       return FULL_SHARE;
     return this.sessionSchedule.shareAt(elapsedMs);
   }
 
-  /** The share of calls without a session that are to go there now, 0 to 1. */
+  /** The current share of calls without a session that go to the new version, 0 to 1. */
   get callShare(): number {
-    const facts = this.updateSchedule();
+    const progress = this.updateSchedule();
     return this.isMovingAll
       ? FULL_SHARE
-      : computeCanaryShare(this.options.bounds, facts);
+      : computeCanaryShare(this.options.bounds, progress);
   }
 
-  /** Whether one more call without a session may go to the new version: asked for each, by what was counted up to it. */
+  /** Whether one more call without a session may go to the new version; checked for each call against the counts so far. */
   get isUnderExposureLimit(): boolean {
-    const facts = this.updateSchedule();
+    const progress = this.updateSchedule();
     if (this.isMovingAll) return this.isUnderOwnLimit();
     return (
-      facts.sentFresh + 1 <= computeCanaryLimit(this.options.bounds, facts)
+      progress.sentFresh + 1 <=
+      computeCanaryLimit(this.options.bounds, progress)
     );
   }
 
-  /** Whether all calls are to move, and no longer some to watch it. */
+  /** Whether all calls are to move to the new version, which ends the canary phase. */
   get isMovingAll(): boolean {
     return (
-      this.sessionSchedule.shareAt(this.options.facts().elapsedMs) ===
+      this.sessionSchedule.shareAt(this.options.progress().elapsedMs) ===
       FULL_SHARE
     );
   }
 
-  /** The steps of the sessions' share, for the other hosts. */
+  /** The steps of the share of sessions, to announce to the other hosts. */
   get shareSteps(): ShareSteps {
     this.updateSchedule();
     return this.sessionSchedule.announcedSteps;
   }
 
-  /** Takes over the steps that other hosts told. */
+  /** Merges the steps that other hosts announced. */
   mergeSteps(steps: ShareSteps | undefined): void {
     this.sessionSchedule.merge(steps);
   }
 
-  /** Whether the roll-out may be complete, while so many calls still run on the old version. */
+  /** Whether the rollout may complete, given the number of calls still running on the old version. */
   mayComplete(oldRunning: number): boolean {
     const {bounds} = this.options;
-    const facts = {...this.options.facts(), isMovingAll: this.isMovingAll};
-    return canCompleteRollout(bounds, facts, oldRunning);
+    const progress = {
+      ...this.options.progress(),
+      isMovingAll: this.isMovingAll,
+    };
+    return canCompleteRollout(bounds, progress, oldRunning);
   }
 
-  /** Each host keeps its part of the bounds by what it counts itself; the parts add up to the whole. */
+  /** Enforces this host's part of the bounds against its own counts; the parts of all hosts add up to the bounds. */
   private isUnderOwnLimit(): boolean {
-    const {bounds, ownFacts, hostCount: hosts} = this.options;
-    const calls = bounds.calls / Math.max(1, hosts());
-    return canShiftOneMoreCall({...bounds, calls}, ownFacts());
+    const {bounds, ownProgress, hostCount} = this.options;
+    const calls = bounds.calls / Math.max(1, hostCount());
+    return canShiftOneMoreCall({...bounds, calls}, ownProgress());
   }
 
-  /** Raises the share of sessions by what is known now, for when it will hold. */
+  /** Schedules a larger share of sessions if it will be allowed when it takes effect; returns the current progress. */
   private updateSchedule(): RolloutProgress {
     const {bounds} = this.options;
-    const facts = this.options.facts();
-    const {elapsedMs} = facts;
-    const then = {
-      ...facts,
+    const progress = this.options.progress();
+    const {elapsedMs} = progress;
+    const progressThen = {
+      ...progress,
       elapsedMs: SessionShareSchedule.effectiveFrom(elapsedMs),
     };
-    if (!canShiftSessions(then)) return facts;
-    const share = canShiftAllCalls(bounds, then)
+    if (!canShiftSessions(progressThen)) return progress;
+    const share = canShiftAllCalls(bounds, progressThen)
       ? FULL_SHARE
-      : computeCanaryShare(bounds, facts);
+      : computeCanaryShare(bounds, progress);
     this.sessionSchedule.scheduleIncrease(share, elapsedMs);
-    return facts;
+    return progress;
   }
 }
--- a/packages/gateway/src/rollouts/rollout_registry.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -25,44 +25,44 @@
   readonly states: TopicMirror;
   readonly reader: WireReader;
   readonly sessions: SessionVersions;
-  /** Whether this host heard of the store a short time ago, itself or through others. */
+  /** Whether this host recently received news of the store, directly or through other hosts. */
   readonly isConnected: () => boolean;
   readonly refusals: Refusals;
-  /** What hosts noted in the store when an order was first seen. */
+  /** The start records, which hosts write when an order is first seen. */
   readonly startRecords: RolloutStartRecords;
-  /** How much of a service's calls a new version may get until the limit of its roll-out. */
+  /** Returns how many of a service's calls a new version may get until the deadline of its rollout. */
   readonly exposureBounds?: () => ExposureBounds;
-  /** Hosts that live, this one included. */
+  /** Returns the number of live hosts, including this one. */
   readonly hostCount?: () => number;
 }
 
-/** A call that needs a version. */
+/** A call that is to be sent to a version. */
 interface VersionQuery {
   readonly service: string;
-  /** Names the call; decides where it has no session. */
+  /** Identifies the call; hashed in place of the session if it has none. */
   readonly key: string;
   readonly session?: string;
-  /** The versions that answered earlier attempts with a failure, one for each such answer. */
+  /** The versions of the earlier attempts that failed, one entry per failed attempt. */
   readonly failedVersions: readonly string[];
-  /** Whether a version has a runner that the call was not sent to yet. */
+  /** Whether a version has a runner to which the call has not been sent yet. */
   readonly hasUntriedRunner: (version: string) => boolean;
 }
 
-/** What decides on the version of a call. */
+/** The inputs from which the version of a call is chosen. */
 type VersionCriteria = Omit<VersionQuery, 'service'> &
   Pick<VersionPreference, 'remembered'>;
 
-/** Reasons for which a call gets the new version; for all others it gets the old one. */
+/** Reasons that send a call to the new version; all others send it to the old one. */
 const NEW_VERSION_REASONS: ReadonlySet<VersionReason> = new Set([
   VersionReason.ALL_CALLS,
   VersionReason.SESSION_ON_NEW,
   VersionReason.IN_SHARE,
 ]);
 
-/** The roll-outs that are ordered, and which version each call gets. */
+/** Keeps the newest rollout of each service, and decides which version each call goes to. */
 export class RolloutRegistry {
   private readonly rollouts = new Map<string, Rollout>();
-  /** Whether this host had a copy of the orders before the newest one came. */
+  /** Whether this host has loaded the orders, so that any further order is new. */
   private hasLoadedOrders = false;
 
   constructor(private readonly options: Options) {
@@ -70,28 +70,30 @@
       changed.forEach(record => this.applyOrder(record, isReload));
       this.hasLoadedOrders = true;
     });
-    options.states.onUpdate(({changed}) => changed.forEach(r => this.state(r)));
+    options.states.onUpdate(({changed}) =>
+      changed.forEach(r => this.applyState(r)),
+    );
     options.startRecords.onChange(() => this.applyStartRecords());
   }
 
-  /** The newest roll-out of a service. */
+  /** Returns the newest rollout of a service. */
   get(service: string): Rollout | undefined {
     return this.rollouts.get(service);
   }
 
-  /** Whether this host can tell each call its version: it knows how old each active roll-out is. */
+  /** Whether this host knows the age of each active rollout, and so can choose the version of every call. */
   get areAgesKnown(): boolean {
     return this.all().every(
       ({phase, isAgeKnown}) => isAgeKnown || phase !== RolloutPhase.ACTIVE,
     );
   }
 
-  /** The newest roll-out of each service. */
+  /** Returns the newest rollout of each service. */
   all(): Rollout[] {
     return [...this.rollouts.values()];
   }
 
-  /** What the store says of a roll-out, as this host knows it. */
+  /** Returns the state of a rollout from this host's copy of the store. */
   findState(rollout: Rollout): RolloutState | undefined {
     return this.options.states
       .live()
@@ -100,9 +102,9 @@
   }
 
   /**
-   * Which version a call of a service gets: a pure function of session, roll-out and time since the
-   * order, so that hosts agree whichever of them a session reaches. What a host remembers of sessions only
-   * keeps on the new version those that it put there.
+   * Returns which version a call should go to. For a session this is a pure function of the session, the rollout and the time
+   * since the order, so that hosts agree whichever of them the session reaches. The sessions that a host remembers only keep
+   * those on the new version that it put there itself.
    */
   getVersionPreference({service, ...call}: VersionQuery): VersionPreference {
     const remembered = this.getRememberedVersion(call.session);
@@ -111,11 +113,11 @@
     const {version} = rollout.order;
     const reason = this.chooseReason(rollout, {...call, remembered});
     const isNew = NEW_VERSION_REASONS.has(reason);
-    const wish = isNew ? {preferred: version} : {avoided: version};
-    return {...wish, reason, remembered};
+    const preference = isNew ? {preferred: version} : {avoided: version};
+    return {...preference, reason, remembered};
   }
 
-  /** Takes over what other hosts told, summed over them. */
+  /** Applies the sum of the digests of the other hosts, by service. */
   applyRemoteDigests(digests: Readonly<Record<string, RolloutDigest>>): void {
     for (const [service, digest] of Object.entries(digests)) {
       const rollout = this.rollouts.get(service);
@@ -133,14 +135,14 @@
 
   private chooseReason(
     rollout: Rollout,
-    question: VersionCriteria,
+    criteria: VersionCriteria,
   ): VersionReason {
-    const {key, session, remembered} = question;
+    const {key, session, remembered} = criteria;
     const {phase} = rollout;
     const {version, offset} = rollout.order;
     if (rollout.isRolledBack) return VersionReason.ROLLED_BACK;
     if (phase === RolloutPhase.COMPLETE) return VersionReason.ALL_CALLS;
-    if (shouldLeaveNewVersion(rollout, question))
+    if (shouldLeaveNewVersion(rollout, criteria))
       return VersionReason.FAILED_ON_NEW;
     if (remembered === version) return VersionReason.SESSION_ON_NEW;
     if (!this.options.isConnected()) return chooseDisconnectedReason(rollout);
@@ -153,18 +155,18 @@
   }
 
   private applyOrder(record: KeyedRecord, isReload: boolean): void {
-    const {reader, startRecords: starts, states} = this.options;
+    const {reader, startRecords, states} = this.options;
     const order = this.tryRead(Topic.OPERATOR, record, () =>
       reader.readOrder(record),
     );
     if (!order) return;
-    const known = this.rollouts.get(order.service);
-    if (known && known.order.offset >= order.offset) return;
-    // An order that was not in the copy before is new: a time of day could only mislead.
+    const previous = this.rollouts.get(order.service);
+    if (previous && previous.order.offset >= order.offset) return;
+    // An order that arrives after the first load is new; an age from the wall clock could only be wrong.
     const elapsedMs = this.hasLoadedOrders
       ? 0
-      : starts.estimateElapsedMs(order);
-    const statesFrom = this.statesFrom(order, known, isReload);
+      : startRecords.estimateElapsedMs(order);
+    const statesFrom = this.resolveStatesFrom(order, previous, isReload);
     const rollout = new Rollout({
       ...this.options,
       order,
@@ -175,34 +177,34 @@
     });
     this.rollouts.set(order.service, rollout);
     this.logOrder(order, elapsedMs);
-    for (const state of states.live()) this.state(state);
+    for (const state of states.live()) this.applyState(state);
   }
 
-  /** Position from which states are about an order, as far as this host can tell when it arrives. */
-  private statesFrom(
+  /** Returns the offset from which states belong to an order, as far as this host knows when the order arrives. */
+  private resolveStatesFrom(
     order: RolloutOrder,
-    last: Rollout | undefined,
+    previous: Rollout | undefined,
     isReload: boolean,
   ): number {
-    const {startRecords: starts, states} = this.options;
-    // What stands there when the order arrives is about an earlier one; at the start of this host the
-    // order may be old, and only a note tells.
+    const {startRecords, states} = this.options;
+    // States that exist when an order arrives belong to an earlier order. When this host loads the topic, the order may be
+    // older than the states, and only a start record gives the offset.
     const seenBefore = isReload ? 0 : states.next;
     return Math.max(
-      starts.statesFrom(order) ?? seenBefore,
-      // This host may have written the end of the last one, and not read it yet.
-      last?.offsetAfterEnd ?? 0,
+      startRecords.findStatesFrom(order) ?? seenBefore,
+      // This host may have written the end of the previous rollout without having read it back yet.
+      previous?.offsetAfterEnd ?? 0,
     );
   }
 
-  /** Notes may come later than the orders and states that they explain. */
+  /** Applies start records, which may arrive after the orders and states that they belong to. */
   private applyStartRecords(): void {
     for (const rollout of this.rollouts.values()) {
       const {order, phase} = rollout;
-      // Only a host that did not see the order arrive, and was not told by one that did, goes by the note.
+      // Has an effect only if this host did not see the order arrive and no peer reported the age.
       const elapsedMs = this.options.startRecords.estimateElapsedMs(order);
       rollout.applyWallClockElapsed(elapsedMs);
-      const statesFrom = this.options.startRecords.statesFrom(order);
+      const statesFrom = this.options.startRecords.findStatesFrom(order);
       if (statesFrom === undefined || statesFrom <= rollout.statesFrom)
         continue;
       rollout.statesFrom = statesFrom;
@@ -212,7 +214,7 @@
     }
   }
 
-  private state(record: KeyedRecord): void {
+  private applyState(record: KeyedRecord): void {
     const state = this.readState(record);
     if (!state) return;
     const rollout = this.rollouts.get(state.service);
@@ -259,31 +261,32 @@
 }
 
 /**
- * Whether a call that failed on the watched version goes on with the old one. A call of a session stays while the
- * failure can be its runner's alone: the session would see the two versions by turns. Of 200 sessions, three
- * that one of two sound runners of a good version failed went back to the old version before, none do now.
+ * Whether a call that failed on the new version is retried on the old one. A call of a session stays on the new version while
+ * the failure may be that of a single runner, so that the session doesn't alternate between versions. Of 200
+ * sessions, three that got a failure from one of the two sound runners of a good version went back to the old version
+ * without this rule, and none with it.
  */
 function shouldLeaveNewVersion(
   rollout: Rollout,
-  {session, failedVersions, hasUntriedRunner: hasUntried}: VersionCriteria,
+  {session, failedVersions, hasUntriedRunner}: VersionCriteria,
 ): boolean {
   const {version} = rollout.order;
   const failures = failedVersions.filter(failed => failed === version).length;
   if (failures === 0) return false;
   if (session === undefined || failures > 1) return true;
-  return rollout.isSuspect || !hasUntried(version);
+  return rollout.isSuspect || !hasUntriedRunner(version);
 }
 
-/** A host that hears nothing takes a roll-out whose time is over for complete: the old runners are gone by then. */
+/** A disconnected host treats a rollout past its deadline as complete, since the old runners are gone by then. */
 function chooseDisconnectedReason({elapsedMs, order}: Rollout): VersionReason {
   const isOver = elapsedMs >= order.durationMs;
   return isOver ? VersionReason.ALL_CALLS : VersionReason.HOST_DISCONNECTED;
 }
 
-/** States of an earlier roll-out to the same version stand before the note of this one's start. */
+/** Whether a state belongs to a rollout; states of an earlier rollout to the same version have lower offsets. */
 function isStateFor(state: RolloutState, rollout: Rollout): boolean {
   const {order, statesFrom} = rollout;
-  // Versions of different services bear the same names.
+  // Different services may use the same version names.
   if (state.service !== order.service) return false;
   return state.version === order.version && state.offset >= statesFrom;
 }
--- a/packages/gateway/src/rollouts/rollout_start_key.ts
+++ b/packages/gateway/src/rollouts/rollout_start_key.ts
@@ -1,6 +1,6 @@
 import type {RolloutOrder} from '@bayspool/decisions/calls';
 
-/** Key under which hosts note when a roll-out began. */
+/** Returns the key of the record that holds when a rollout started. */
 export function rolloutStartKey({service, offset}: RolloutOrder): string {
   return `rollout/${service}/${offset}`;
 }
--- a/packages/gateway/src/rollouts/rollout_start_records.ts
+++ b/packages/gateway/src/rollouts/rollout_start_records.ts
@@ -13,15 +13,15 @@
   readonly clock: Clock;
   readonly refusals: Refusals;
   readonly store: RecordStore;
-  /** The copy of the topic in which starts are noted. */
+  /** The local copy of the topic that holds the start records. */
   readonly mirror: TopicMirror;
 }
 
-/** What a host notes when it is the first to see an order. */
+/** The record that the first host to see an order writes. */
 interface StartRecord {
-  /** Time of day of the order, in ms. */
+  /** Wall-clock time of the order, in ms. */
   readonly startedAtWall: number;
-  /** Position in the topic of states from which they are about the order. */
+  /** Offset in the topic of states from which states belong to the order. */
   readonly statesFrom: number;
 }
 
@@ -30,39 +30,42 @@
   statesFrom: number,
 });
 
-/** When roll-outs started, as hosts note it in the store. */
+/** Stores and reads when rollouts started, so that hosts know it after a restart. */
 export class RolloutStartRecords {
   constructor(private readonly options: Options) {}
 
-  /** Tells the listener that there may be new notes. */
+  /** Calls the listener whenever the start records may have changed. */
   onChange(listener: () => void): void {
     this.options.mirror.onUpdate(listener);
   }
 
-  /** Notes in the store when a roll-out started. */
+  /** Writes the start record of a rollout to the store. */
   async save(rollout: Rollout): Promise<void> {
     const {clock, store} = this.options;
-    const note: StartRecord = {
+    const start: StartRecord = {
       startedAtWall: Math.round(clock.wall() - rollout.elapsedMs),
       statesFrom: rollout.statesFrom,
     };
     await store.append({
       topic: Topic.HOSTS,
       key: rolloutStartKey(rollout.order),
-      value: JSON.stringify(note),
+      value: JSON.stringify(start),
     });
   }
 
-  /** A time of day is only a hint: it helps after all hosts were restarted, and is bounded. */
+  /**
+   * Returns the time since the order by the wall clock, limited to the rollout's duration; 0 without a record. It is only an
+   * estimate, for use after all hosts were restarted.
+   */
   estimateElapsedMs(order: RolloutOrder): number {
-    const note = this.find(order);
-    if (!note) return 0;
-    const elapsedMs = this.options.clock.wall() - note.startedAtWall;
+    const start = this.find(order);
+    if (!start) return 0;
+    const elapsedMs = this.options.clock.wall() - start.startedAtWall;
     return Math.min(order.durationMs, Math.max(0, elapsedMs));
   }
 
-  /** Position in the topic of states from which they are about the order; undefined if not noted. */
-  statesFrom(order: RolloutOrder): number | undefined {
+  /** Returns the offset in the topic of states from which states belong to the order; undefined without a record. */
+  findStatesFrom(order: RolloutOrder): number | undefined {
     return this.find(order)?.statesFrom;
   }
 
@@ -73,7 +76,7 @@
     try {
       return readEntry(startRecordCodec, record);
     } catch (error) {
-      // Without the note, times and states count from what this host saw itself.
+      // Without the start record, this host relies on what it saw itself for times and states.
       refusals.note(mirror.topic, record, error);
       return undefined;
     }
--- a/packages/gateway/src/rollouts/rollouts.test.ts
+++ b/packages/gateway/src/rollouts/rollouts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
 import {Topic} from '../records/topic.js';
-import {plainHeaderNames as names} from '../testing/plain_header_names.js';
+import {plainHeaderNames as headerNames} from '../testing/plain_header_names.js';
 import {RolloutFixture} from '../testing/rollout_fixture.js';
 import {ScriptedRunner} from '../testing/scripted_runner.js';
 
@@ -17,7 +17,7 @@
 
 afterEach(() => fixture.stop());
 
-void test('a good version gets few calls first, then all, and is complete in time', async () => {
+void test('a good version gets few calls first, then all, and completes in time', async () => {
   fixture.order({durationMs: 4_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
@@ -33,14 +33,14 @@
   assert.deepEqual(fixture.phases(), ['active', 'complete']);
 });
 
-void test('a session that runs on the old version stays there in the first half', async () => {
+void test('a session on the old version stays there in the first half of a rollout', async () => {
   await fixture.startHost({sessionKeptMs: 2_000});
   await fixture.waitReady();
   const sessions = Array.from({length: 40}, (_, i) => `session-${i}`);
   const callAll = () =>
     Promise.all(
       sessions.map(session =>
-        fixture.call({headers: {[names.session]: session}}),
+        fixture.call({headers: {[headerNames.session]: session}}),
       ),
     );
   fresh.stop();
@@ -53,7 +53,7 @@
   assert.equal(fresh.received.length, before);
 });
 
-void test('a bad version gets no calls any more, and is reverted once', async () => {
+void test('a bad version gets no more calls and is reverted once', async () => {
   fixture.order({durationMs: 20_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
@@ -70,16 +70,16 @@
   assert.equal(fixture.phases().filter(phase => phase !== 'active').length, 1);
 });
 
-void test('a second order for a version that was reverted is carried out', async () => {
+void test('a second order for a reverted version is carried out', async () => {
   fixture.order({durationMs: 20_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
-  const answerWhole = fresh.script;
+  const soundScript = fresh.script;
   fixture.breakFresh();
   for (let i = 0; i < 300 && fixture.phases().at(-1) !== 'reverted'; i++)
     await fixture.call();
   await fixture.waitFor(() => fixture.phases().includes('reverted'));
-  fresh.script = answerWhole;
+  fresh.script = soundScript;
   fixture.order({durationMs: 3_000});
   await fixture.waitFor(() => fixture.phases().length === 3);
   await fixture.startHost({sessionKeptMs: 10});
@@ -96,7 +96,7 @@
   assert.equal(fresh.received.length, before + 1);
 });
 
-void test('a phase whose answer was lost is not written a second time', async () => {
+void test('a phase is not written again when the response to the write was lost', async () => {
   fixture.order({durationMs: 1_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
@@ -109,7 +109,7 @@
   );
 });
 
-void test('several hosts write each phase once', async () => {
+void test('several hosts together write each phase once', async () => {
   fixture.order({durationMs: 2_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.startHost({sessionKeptMs: 10});
@@ -123,7 +123,7 @@
   );
 });
 
-void test('a version that appears before its order waits for it', async () => {
+void test('a version that appears before its order gets no calls', async () => {
   const late = new ScriptedRunner({id: 'late', version: 'v3'});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
@@ -137,23 +137,23 @@
   assert.equal(late.received.length, 0);
 });
 
-void test('a call that fails on the watched version is answered by the old one', async () => {
+void test('a call that fails on the new version is answered by the old one', async () => {
   const other = new ScriptedRunner({id: 'fresh-2', version: 'v2'});
   const fail: ScriptedRunner['script'] = ({id}, response) =>
-    response.writeHead(500, {[names.requestId]: id}).end();
+    response.writeHead(500, {[headerNames.requestId]: id}).end();
   fresh.script = other.script = fail;
   await fixture.addRunner(other);
   fixture.order({durationMs: 60_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
   const statuses = new Set<number>();
-  // Which calls are watched follows from their ids, which count on from test to test: of 60, none may be.
+  // The hash of a call's id decides whether it goes to the new version, and ids continue from test to test: of 60 calls, none may.
   for (let i = 0; i < 200; i++) statuses.add((await fixture.call()).status);
   assert.ok(fresh.received.length + other.received.length > 0);
   assert.deepEqual([...statuses], [200]);
 });
 
-void test('a note of a start that cannot be read does not stop the order', async () => {
+void test('an unreadable start record does not block the order', async () => {
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
   fixture.order({durationMs: 60_000});
@@ -168,20 +168,20 @@
   assert.equal((await fixture.call()).status, 200);
 });
 
-void test('what hosts gave to the versions is summed at each of them, also where all are in one place', async () => {
+void test('each host knows the sum of all attempts, also if all hosts are in one place', async () => {
   fixture.order({durationMs: 60_000});
   for (const host of [0, 1, 2]) {
     await fixture.startHost({sessionKeptMs: 10});
     await fixture.waitReady(host);
   }
   for (let i = 0; i < 30; i++) await fixture.call({host: i % 3});
-  const knownAt = (host: string) => {
+  const attemptsKnownAt = (host: string) => {
     const line = fixture
       .events('rollout_counted')
-      .findLast(counted => counted.host === host);
+      .findLast(entry => entry.host === host);
     return Number(line?.newSent) + Number(line?.oldSent);
   };
   await fixture.waitFor(() =>
-    ['host-1', 'host-2', 'host-3'].every(host => knownAt(host) === 30),
+    ['host-1', 'host-2', 'host-3'].every(host => attemptsKnownAt(host) === 30),
   );
 });
--- a/packages/gateway/src/rollouts/session_share_schedule.test.ts
+++ b/packages/gateway/src/rollouts/session_share_schedule.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {SessionShareSchedule} from './session_share_schedule.js';
 
-void test('a larger share holds a second after it was made, at the hosts that were told too', () => {
+void test('a larger share takes effect one second after it was scheduled, also at hosts that received it', () => {
   const one = new SessionShareSchedule();
   const other = new SessionShareSchedule();
   one.scheduleIncrease(0.1, 5_000);
@@ -13,7 +13,7 @@
   }
 });
 
-void test('a share never falls, and holds from when the first host says', () => {
+void test('the share never decreases, and takes effect at the earliest time that a host set', () => {
   const one = new SessionShareSchedule();
   const other = new SessionShareSchedule();
   one.scheduleIncrease(0.3, 5_000);
@@ -26,7 +26,7 @@
   assert.equal(other.shareAt(9_000), 0.3);
 });
 
-void test('a host of an earlier version tells no shares', () => {
+void test('a digest without steps, from a host that runs an earlier release, changes nothing', () => {
   const shares = new SessionShareSchedule();
   shares.scheduleIncrease(0.1, 1_000);
   shares.merge(undefined);
--- a/packages/gateway/src/rollouts/session_share_schedule.ts
+++ b/packages/gateway/src/rollouts/session_share_schedule.ts
@@ -1,49 +1,51 @@
 import {mergeShareSteps} from './merge_share_steps.js';
 import type {ShareSteps} from './share_steps.js';
 
-/** The share of sessions that every host gives from when they may move on, without being told. */
+/** The share that every host applies, without an announcement, from the time at which sessions may move. */
 const INITIAL_SHARE = 0.02;
 /**
- * How long before it holds a larger share is told, in ms: two hand-overs between hosts. Where each host raised the share when it
- * saw fit, sessions went back to the old version at the next host, which had not heard of it (test of hosts that take
- * calls by turns).
+ * Time between the announcement of a larger share and its start, in ms: two exchanges between hosts. When each host raised the
+ * share on its own, sessions went back to the old version at the next host, which had not heard of the new share (test in
+ * which hosts take the calls of a session in turn).
  */
 const ANNOUNCE_LEAD_MS = 1_000;
 
 /**
- * The share of sessions that the new version of a roll-out gets. It rises in steps that hosts tell each other before they hold, so
- * that a session has the same version whichever host takes its calls, also one that has just started.
+ * The share of sessions on the new version of a rollout, over time. It rises in steps that hosts announce to each other before
+ * they take effect, so that every host, including one that has just started, puts a session on the same version.
  */
 export class SessionShareSchedule {
   private steps: ShareSteps = {};
 
-  /** What is told to other hosts. */
+  /** The steps to announce to other hosts. */
   get announcedSteps(): ShareSteps {
     return this.steps;
   }
 
-  /** The share at a time since the order, in ms. */
+  /** Returns the share in effect at a time since the order, in ms. */
   shareAt(elapsedMs: number): number {
-    const inForce = Object.entries(this.steps)
+    const inEffect = Object.entries(this.steps)
       .filter(([, fromMs]) => fromMs <= elapsedMs)
       .map(([share]) => Number(share));
-    return Math.max(INITIAL_SHARE, ...inForce);
+    return Math.max(INITIAL_SHARE, ...inEffect);
   }
 
-  /** When a step that is made now will hold, as time since the order in ms. */
+  /** Returns when a step that is scheduled now takes effect, as time since the order in ms. */
   static effectiveFrom(elapsedMs: number): number {
     return elapsedMs + ANNOUNCE_LEAD_MS;
   }
 
-  /** Lets a share hold from when all hosts have heard of it; smaller ones than known are nothing new. */
+  /** Schedules a share to start once all hosts have heard of it; ignored if an equal or larger share is scheduled already. */
   scheduleIncrease(share: number, elapsedMs: number): void {
-    const isKnown = Object.keys(this.steps).some(step => Number(step) >= share);
-    if (isKnown || share <= INITIAL_SHARE) return;
+    const isScheduled = Object.keys(this.steps).some(
+      step => Number(step) >= share,
+    );
+    if (isScheduled || share <= INITIAL_SHARE) return;
     this.merge({[share]: SessionShareSchedule.effectiveFrom(elapsedMs)});
   }
 
-  /** Takes over what other hosts told. */
-  merge(told: ShareSteps | undefined): void {
-    this.steps = mergeShareSteps(this.steps, told);
+  /** Merges the steps that other hosts announced. */
+  merge(announced: ShareSteps | undefined): void {
+    this.steps = mergeShareSteps(this.steps, announced);
   }
 }
--- a/packages/gateway/src/rollouts/sessions_and_hosts.test.ts
+++ b/packages/gateway/src/rollouts/sessions_and_hosts.test.ts
@@ -3,12 +3,12 @@
 import {CallKind} from '@bayspool/decisions/calls';
 import {Topic} from '../records/topic.js';
 import {GatewayFixture} from '../testing/gateway_fixture.js';
-import {plainHeaderNames as names} from '../testing/plain_header_names.js';
+import {plainHeaderNames as headerNames} from '../testing/plain_header_names.js';
 import {ScriptedRunner} from '../testing/scripted_runner.js';
 
-/** Enough sessions for several of them to lie in a share of a few hundredths. */
+/** Enough sessions that a share of a few percent contains several of them. */
 const SESSIONS = Array.from({length: 200}, (_, i) => `session-${i}`);
-/** How long hosts take sessions to go on, in ms; hosts are older than that before they are asked. */
+/** How long hosts keep a session after its last call, in ms; hosts have run for longer than that before they get calls. */
 const SESSION_KEPT_MS = 300;
 const OLD = 'v1';
 const NEW = 'v2';
@@ -34,7 +34,7 @@
   other.stop();
 });
 
-/** A runner that signs its answers with its version. */
+/** Creates a runner that names its version in the signature header of its responses. */
 function createRunner(id: string, version: string): ScriptedRunner {
   return new ScriptedRunner({
     id,
@@ -42,8 +42,8 @@
     script: (request, response) =>
       response
         .writeHead(200, {
-          [names.requestId]: request.id,
-          [names.signature]: version,
+          [headerNames.requestId]: request.id,
+          [headerNames.signature]: version,
           'content-length': 0,
         })
         .end(),
@@ -66,31 +66,31 @@
   await new Promise(resolve => setTimeout(resolve, 2 * SESSION_KEPT_MS));
 }
 
-/** Waits until each host knows the order and the runner of the new version. */
-async function waitKnown(hosts: number): Promise<void> {
-  const countOf = (event: string, runner?: string) =>
+/** Waits until each host knows the order and a runner of the new version. */
+async function waitUntilKnown(hosts: number): Promise<void> {
+  const countEvents = (event: string, runner?: string) =>
     fixture.events(event).filter(line => line.runner === runner).length;
   await fixture.waitFor(
     () =>
-      countOf('rollout_ordered') >= hosts &&
-      countOf('runner_seen', 'fresh') >= hosts,
+      countEvents('rollout_ordered') >= hosts &&
+      countEvents('runner_seen', 'fresh') >= hosts,
   );
 }
 
-/** Lets a runner fail its next requests, all of them if no number is given; gives the ids of those failed. */
+/** Makes a runner fail its next requests, by default all; returns the ids of the failed requests. */
 function breakRunner(runner: ScriptedRunner, count = Infinity): string[] {
   const sound = runner.script;
   const failed: string[] = [];
   runner.script = (request, response) => {
     if (failed.length >= count) return sound(request, response);
     failed.push(request.id);
-    response.writeHead(500, {[names.requestId]: request.id}).end();
+    response.writeHead(500, {[headerNames.requestId]: request.id}).end();
   };
   return failed;
 }
 
-/** Waits until a part of the time since an order is over. */
-async function waitPart(
+/** Waits until a part of the duration of an order has passed. */
+async function waitUntilPart(
   orderedAt: number,
   durationMs: number,
   part: number,
@@ -99,7 +99,7 @@
   await new Promise(resolve => setTimeout(resolve, leftMs));
 }
 
-/** The version that answers a call of each session at a host. */
+/** Sends a call of each session to a host; returns the versions that answered, by session. */
 async function callSessions(
   host: number,
   sessions = SESSIONS,
@@ -108,34 +108,34 @@
   for (const session of sessions) {
     const {headers} = await fixture.call({
       host,
-      headers: {[names.session]: session},
+      headers: {[headerNames.session]: session},
     });
-    versions.set(session, headers[names.signature]);
+    versions.set(session, headers[headerNames.signature]);
   }
   return versions;
 }
 
-function onNew(versions: ReadonlyMap<string, unknown>): string[] {
+function findSessionsOnNew(versions: ReadonlyMap<string, unknown>): string[] {
   return SESSIONS.filter(session => versions.get(session) === NEW);
 }
 
-void test('a session that began before the order keeps the old version at a host that never saw it', async () => {
+void test('a session that began before the order stays on the old version at a host that has not seen it', async () => {
   await startHosts(2);
-  assert.deepEqual(onNew(await callSessions(0)), []);
+  assert.deepEqual(findSessionsOnNew(await callSessions(0)), []);
   order(60_000);
   await fixture.addRunner(fresh);
-  await waitKnown(2);
-  assert.deepEqual(onNew(await callSessions(1)), []);
+  await waitUntilKnown(2);
+  assert.deepEqual(findSessionsOnNew(await callSessions(1)), []);
 });
 
-void test('a session that began before the new runners came keeps the old version at another host', async () => {
+void test('a session that began before the new runners appeared stays on the old version at another host', async () => {
   await startHosts(2);
   order(60_000);
   await fixture.waitFor(() => fixture.events('rollout_ordered').length === 2);
-  assert.deepEqual(onNew(await callSessions(0)), []);
+  assert.deepEqual(findSessionsOnNew(await callSessions(0)), []);
   await fixture.addRunner(fresh);
-  await waitKnown(2);
-  assert.deepEqual(onNew(await callSessions(1)), []);
+  await waitUntilKnown(2);
+  assert.deepEqual(findSessionsOnNew(await callSessions(1)), []);
 });
 
 void test('whichever host takes its calls, a session moves once, to the new version, in the second half', async () => {
@@ -144,11 +144,11 @@
   order(durationMs);
   const orderedAt = performance.now();
   await fixture.addRunner(fresh);
-  await waitKnown(2);
+  await waitUntilKnown(2);
   const moved = new Set<string>();
   for (let round = 0; moved.size < SESSIONS.length; round++) {
-    const isOver = performance.now() - orderedAt >= durationMs;
-    // A host that has just started knows no session at all.
+    const isPastDeadline = performance.now() - orderedAt >= durationMs;
+    // A host that has just started knows no sessions.
     if (round % 2 === 0)
       await fixture.startHost({sessionKeptMs: SESSION_KEPT_MS});
     const host = fixture.hosts.length - 1 - (round % 2);
@@ -156,51 +156,58 @@
     const versions = await callSessions(host);
     const elapsedMs = performance.now() - orderedAt;
     const isFirstHalf = elapsedMs < durationMs / 2;
-    const now = onNew(versions);
-    if (isFirstHalf) assert.deepEqual(now, [], `after ${elapsedMs} ms`);
-    const back = [...moved].filter(session => versions.get(session) !== NEW);
-    assert.deepEqual(back, [], `back on the old version at ${elapsedMs} ms`);
-    now.forEach(session => moved.add(session));
-    // The last sessions may move shortly before the limit: a round that begins after it finds all on the new version.
-    if (isOver) assert.equal(moved.size, SESSIONS.length, 'not all in time');
+    const onNew = findSessionsOnNew(versions);
+    if (isFirstHalf) assert.deepEqual(onNew, [], `after ${elapsedMs} ms`);
+    const movedBack = [...moved].filter(
+      session => versions.get(session) !== NEW,
+    );
+    assert.deepEqual(
+      movedBack,
+      [],
+      `back on the old version at ${elapsedMs} ms`,
+    );
+    onNew.forEach(session => moved.add(session));
+    // The last sessions may move shortly before the deadline: a round that begins after it finds all on the new version.
+    if (isPastDeadline)
+      assert.equal(moved.size, SESSIONS.length, 'not all in time');
   }
 });
 
-/** Parts of a roll-out's duration in which some sessions are on the new version, and others are not. */
-const MOVING_PART = 0.66;
-const MOVING_MS = 8_000;
-/** Failures that do not make the new version look bad. */
+/** Part of a rollout's duration at which some sessions are on the new version and others are not. */
+const PARTIAL_MOVE_PART = 0.66;
+const PARTIAL_MOVE_DURATION_MS = 8_000;
+/** Number of failures that is too low for the new version to be found bad. */
 const FEW_FAILURES = 3;
 
-async function startMoving(): Promise<void> {
+async function startPartialMove(): Promise<void> {
   await startHosts(1);
-  order(MOVING_MS);
+  order(PARTIAL_MOVE_DURATION_MS);
   const orderedAt = performance.now();
   await fixture.addRunner(fresh);
   await fixture.addRunner(other);
-  await waitKnown(1);
-  await waitPart(orderedAt, MOVING_MS, MOVING_PART);
+  await waitUntilKnown(1);
+  await waitUntilPart(orderedAt, PARTIAL_MOVE_DURATION_MS, PARTIAL_MOVE_PART);
 }
 
-void test('a session that one runner of the new version fails goes on with another one of it', async () => {
-  await startMoving();
-  const before = onNew(await callSessions(0));
+void test('a session that gets a failure from one runner of the new version continues on another one of that version', async () => {
+  await startPartialMove();
+  const before = findSessionsOnNew(await callSessions(0));
   assert.ok(before.length > 0 && before.length < SESSIONS.length);
   const failed = breakRunner(other, FEW_FAILURES);
   const after = await callSessions(0, before);
   assert.ok(failed.length > 0);
-  const back = before.filter(session => after.get(session) !== NEW);
-  assert.deepEqual(back, []);
+  const movedBack = before.filter(session => after.get(session) !== NEW);
+  assert.deepEqual(movedBack, []);
 });
 
-void test('a session whose only runner of the new version fails is answered by the old one', async () => {
+void test('a session is answered by the old version if the only runner of the new version fails', async () => {
   await startHosts(1);
-  order(MOVING_MS);
+  order(PARTIAL_MOVE_DURATION_MS);
   const orderedAt = performance.now();
   await fixture.addRunner(fresh);
-  await waitKnown(1);
-  await waitPart(orderedAt, MOVING_MS, MOVING_PART);
-  const before = onNew(await callSessions(0));
+  await waitUntilKnown(1);
+  await waitUntilPart(orderedAt, PARTIAL_MOVE_DURATION_MS, PARTIAL_MOVE_PART);
+  const before = findSessionsOnNew(await callSessions(0));
   const failed = breakRunner(fresh, 1);
   const versions = await callSessions(0, before.slice(0, 1));
   assert.equal(failed.length, 1);
@@ -208,7 +215,7 @@
 });
 
 void test('a session that two runners of the new version fail is answered by the old one', async () => {
-  await startMoving();
+  await startPartialMove();
   breakRunner(other);
   breakRunner(fresh);
   const versions = await callSessions(0);
--- a/packages/gateway/src/rollouts/version_preference.ts
+++ b/packages/gateway/src/rollouts/version_preference.ts
@@ -1,12 +1,12 @@
 import type {VersionReason} from './version_reason.js';
 
-/** What version a call should have, and why. */
+/** The version that a call should go to, and why. */
 export interface VersionPreference {
-  /** Only this version. */
+  /** The call should go to this version only. */
   readonly preferred?: string;
-  /** Any version but this one. */
+  /** The call should go to any version other than this one. */
   readonly avoided?: string;
   readonly reason: VersionReason;
-  /** The version that this host remembers of the call's session; undefined if it knows none. */
+  /** The version that this host remembers for the call's session; undefined if it remembers none. */
   readonly remembered?: string;
 }
--- a/packages/gateway/src/rollouts/version_rates.ts
+++ b/packages/gateway/src/rollouts/version_rates.ts
@@ -6,7 +6,7 @@
   readonly clock: Clock;
 }
 
-/** Attempts at the new version and at the others since the order. */
+/** Attempts sent to the new version and to the others since the order. */
 interface AttemptCounts {
   readonly fresh: number;
   readonly old: number;
@@ -17,7 +17,7 @@
   'sentAll' | 'sentFresh' | 'callsPerMs' | 'freshPerMs'
 >;
 
-/** How fast calls come for a service with a roll-out, and for its new version. */
+/** Call rates of a service during a rollout, for all versions together and for the new version. */
 export class VersionRates {
   private readonly all: CallRate;
   private readonly fresh: CallRate;
@@ -27,7 +27,7 @@
     this.fresh = new CallRate(options);
   }
 
-  /** Takes the counts as they are now, and gives them with their rates. */
+  /** Records the current counts and returns them with their rates. */
   update({fresh, old}: AttemptCounts, elapsedMs: number): CountsWithRates {
     const sentAll = fresh + old;
     return {
--- a/packages/gateway/src/rollouts/version_reason.ts
+++ b/packages/gateway/src/rollouts/version_reason.ts
@@ -1,4 +1,4 @@
-/** Why a call gets the version that it gets while a service has a roll-out. */
+/** Why a call goes to the old or the new version of a service, during a rollout or without one. */
 const VersionReason = {
   NO_ROLLOUT: 'no roll-out',
   ANSWER_BEGUN: 'answer begun by this version',
