--- a/packages/gateway/src/calls/attempt_recorder.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -1,6 +1,6 @@
 import {RolloutPhase} from '@bayspool/decisions/calls';
 import type {SessionVersions} from '@bayspool/decisions/calls';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {Rollout} from '../rollouts/rollout.js';
@@ -13,7 +13,7 @@
 import type {AttemptTiming} from './attempt_timing.js';
 import type {CallProgress} from './call_progress.js';
 import {estimateLatencyMs} from './estimate_latency_ms.js';
-import {roundHundredths} from '../observability/round_hundredths.js';
+import {roundToHundredths} from '../observability/round_to_hundredths.js';
 
 interface Options {
   readonly log: EventLog;
@@ -178,7 +178,7 @@
     const peerOutcomes = runner.peerLoad.lastFromPeers;
     health.recordFailure(weight);
     const others = directory
-      .takersOf(entry.service)
+      .listAcceptingCalls(entry.service)
       .filter(other => other !== runner);
     const othersShare = computeFailureShare(others);
     const ownFailed = health.failureWeight;
@@ -192,9 +192,9 @@
       runner: entry.id,
       service: entry.service,
       forMs,
-      ownFailed: roundHundredths(ownFailed),
-      remoteFailed: roundHundredths(peerOutcomes.failed),
-      othersShare: roundHundredths(othersShare),
+      ownFailed: roundToHundredths(ownFailed),
+      remoteFailed: roundToHundredths(peerOutcomes.failed),
+      othersShare: roundToHundredths(othersShare),
       reason,
     });
   }
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -1,6 +1,6 @@
 import {RolloutPhase, chooseCanaryRunners} from '@bayspool/decisions/calls';
 import type {Quarantine, PriorityAdmission} from '@bayspool/decisions/calls';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {VersionReason} from '../rollouts/version_reason.js';
 import type {VersionPreference} from '../rollouts/version_preference.js';
@@ -190,7 +190,7 @@
   ): readonly Runner[] {
     if (preferred !== undefined)
       return available.filter(({entry: {version}}) => version === preferred);
-    const unexplained = this.options.directory.unexplainedVersions(service);
+    const unexplained = this.options.directory.listVersionsAwaitingOrder(service);
     return available.filter(
       ({entry: {version}}) => version !== avoided && !unexplained.has(version),
     );
--- a/packages/gateway/src/calls/call_candidates.ts
+++ b/packages/gateway/src/calls/call_candidates.ts
@@ -1,4 +1,4 @@
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {Runner} from '../runners/runner.js';
 import type {IncomingCall} from './incoming_call.js';
 
@@ -18,7 +18,7 @@
   /** Returns the runners of the call's service that accept calls and are in an allowed region. */
   listFor({service, regions}: IncomingCall): readonly Runner[] {
     const {directory, regionOf} = this.options;
-    const runners = directory.takersOf(service);
+    const runners = directory.listAcceptingCalls(service);
     if (!regions) return runners;
     return runners.filter(({entry}) => regions.includes(regionOf[entry.place]));
   }
@@ -26,7 +26,7 @@
   /** Explains why a call has no candidate. */
   explainNone({service, regions}: IncomingCall): string {
     const isRestricted = regions !== undefined;
-    const hasRunners = this.options.directory.takersOf(service).length > 0;
+    const hasRunners = this.options.directory.listAcceptingCalls(service).length > 0;
     return isRestricted && hasRunners
       ? 'no runner in an allowed region'
       : 'no runner';
--- a/packages/gateway/src/calls/call_finisher.ts
+++ b/packages/gateway/src/calls/call_finisher.ts
@@ -39,11 +39,11 @@
     const firstByteAt = caller.firstByteAt ?? clock.now();
     const forMs = clock.now() - call.acceptedAt;
     metrics.requests.inc({route, kind, outcome: 'answered', reason: ''});
-    metrics.firstSeconds.observe(
+    metrics.firstByteSeconds.observe(
       {route},
       (firstByteAt - call.acceptedAt) / 1000,
     );
-    metrics.totalSeconds.observe({route}, forMs / 1000);
+    metrics.requestSeconds.observe({route}, forMs / 1000);
     log.write('request_answered', {
       request: call.id,
       status: outcome.status ?? 0,
--- a/packages/gateway/src/calls/call_forwarder.ts
+++ b/packages/gateway/src/calls/call_forwarder.ts
@@ -6,7 +6,7 @@
   PriorityAdmission,
 } from '@bayspool/decisions/calls';
 import type {Clock, RandomSource} from '@bayspool/kernel';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
--- a/packages/gateway/src/calls/call_server.ts
+++ b/packages/gateway/src/calls/call_server.ts
@@ -3,7 +3,7 @@
 import type {Socket} from 'node:net';
 import type {CallConfiguration} from '@bayspool/decisions/calls';
 import type {Clock, RandomSource, Timer} from '@bayspool/kernel';
-import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
+import type {ActiveConfiguration} from '../discovery/active_configuration.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {ValidatedRequest} from './validated_request.js';
@@ -27,7 +27,7 @@
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
   readonly headerNames: HeaderNames;
-  readonly configuration: ConfigurationBelief;
+  readonly configuration: ActiveConfiguration;
   readonly forwarder: CallForwarder;
   readonly ip: string;
   readonly port: number;
--- a/packages/gateway/src/calls/crash_attribution.ts
+++ b/packages/gateway/src/calls/crash_attribution.ts
@@ -11,7 +11,7 @@
 import {OutcomeKind} from './outcome_kind.js';
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {IncomingCall} from './incoming_call.js';
-import {roundHundredths} from '../observability/round_hundredths.js';
+import {roundToHundredths} from '../observability/round_to_hundredths.js';
 
 interface Options {
   readonly log: EventLog;
@@ -63,7 +63,7 @@
       fingerprint,
       runner: runner.entry.id,
       weight,
-      sum: roundHundredths(quarantine.weightOf(fingerprint)),
+      sum: roundToHundredths(quarantine.weightOf(fingerprint)),
       isAlone,
       sinceHeadMs: Math.round(sinceHeadMs),
     });
--- a/packages/gateway/src/calls/escalation_policy.ts
+++ b/packages/gateway/src/calls/escalation_policy.ts
@@ -4,7 +4,7 @@
   LargestModelForecast,
 } from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {RunnerChoice} from '../runners/runner_choice.js';
@@ -12,7 +12,7 @@
 import type {CallProgress} from './call_progress.js';
 import {estimateLatencyMs} from './estimate_latency_ms.js';
 import type {RetryPolicy} from './retry_policy.js';
-import {roundHundredths} from '../observability/round_hundredths.js';
+import {roundToHundredths} from '../observability/round_to_hundredths.js';
 
 interface Options {
   readonly clock: Clock;
@@ -81,7 +81,7 @@
     const {route, service} = progress.call;
     const choice = chooseRunner(progress, cascade.largestModel(route));
     if (!choice) return undefined;
-    const pendingMs = chooser.computeMeanPendingMs(directory.takersOf(service));
+    const pendingMs = chooser.computeMeanPendingMs(directory.listAcceptingCalls(service));
     return {
       expectedMs: estimateLatencyMs(choice),
       workMs: choice.workMs,
@@ -96,18 +96,18 @@
   ): void {
     const {log, metrics} = this.options;
     const {route, model, confidence, elapsedMs, largest} = response;
-    metrics.weighedAnswers.inc({route: route.name, isUsed: String(isUsed)});
+    metrics.evaluatedResponses.inc({route: route.name, isUsed: String(isUsed)});
     log.write('answer_weighed', {
       request,
       model,
       confidence,
       isUsed,
-      goodShare: roundHundredths(goodShare),
-      worthNow: roundHundredths(worthNow),
-      worthLarge: roundHundredths(worthLarge),
+      goodShare: roundToHundredths(goodShare),
+      worthNow: roundToHundredths(worthNow),
+      worthLarge: roundToHundredths(worthLarge),
       expectedMs: Math.round(largest.expectedMs),
       workMs: Math.round(largest.workMs),
-      pressure: roundHundredths(largest.pressure),
+      pressure: roundToHundredths(largest.pressure),
       elapsedMs: Math.round(elapsedMs),
     });
   }
--- a/packages/gateway/src/calls/fatal_request.test.ts
+++ b/packages/gateway/src/calls/fatal_request.test.ts
@@ -103,7 +103,7 @@
   await send(FATAL);
   await waitQuarantined(2);
   await fixture.waitFor(() => fixture.events('quarantine_written').length > 0);
-  for (const {gateway} of fixture.hosts) gateway.halt();
+  for (const {gateway} of fixture.hosts) gateway.stopImmediately();
   await fixture.startHost({host: 'host-3'});
   await fixture.waitReady(2);
   assert.equal((await send(FATAL, 2)).status, UNAVAILABLE);
--- a/packages/gateway/src/calls/request_recorder.ts
+++ b/packages/gateway/src/calls/request_recorder.ts
@@ -1,6 +1,6 @@
 import type {IncomingMessage} from 'node:http';
 import type {Clock} from '@bayspool/kernel';
-import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
+import type {ActiveConfiguration} from '../discovery/active_configuration.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {HeaderNames} from './header_names.js';
@@ -12,7 +12,7 @@
   readonly log: EventLog;
   readonly metrics: GatewayMetrics;
   readonly headerNames: HeaderNames;
-  readonly configuration: ConfigurationBelief;
+  readonly configuration: ActiveConfiguration;
 }
 
 /** Metric labels of requests without a route. */
--- a/packages/gateway/src/calls/request_validator.ts
+++ b/packages/gateway/src/calls/request_validator.ts
@@ -5,7 +5,7 @@
   ApiKeyOwner,
 } from '@bayspool/decisions/calls';
 import type {RandomSource} from '@bayspool/kernel';
-import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
+import type {ActiveConfiguration} from '../discovery/active_configuration.js';
 import type {ValidatedRequest} from './validated_request.js';
 import type {HeaderNames} from './header_names.js';
 import type {LocalResponse} from './local_response.js';
@@ -14,7 +14,7 @@
 interface Options {
   readonly random: RandomSource;
   readonly headerNames: HeaderNames;
-  readonly configuration: ConfigurationBelief;
+  readonly configuration: ActiveConfiguration;
   /** Maximum age of the configuration at which API keys are still accepted, in ms. */
   readonly maxKeyAgeMs: () => number;
   /** Maximum age of the configuration at which an unknown route or key is rejected for good, in ms. */
--- a/packages/gateway/src/calls/retry_policy.ts
+++ b/packages/gateway/src/calls/retry_policy.ts
@@ -13,7 +13,7 @@
 import type {AttemptOutcome} from './attempt_outcome.js';
 import type {CallCandidates} from './call_candidates.js';
 import type {CallProgress} from './call_progress.js';
-import {roundHundredths} from '../observability/round_hundredths.js';
+import {roundToHundredths} from '../observability/round_to_hundredths.js';
 
 interface Options {
   readonly clock: Clock;
@@ -56,7 +56,7 @@
       attempt: progress.attemptCount,
       again: isRetried,
       reason: outcome.reason,
-      budgetLeft: roundHundredths(budget.remaining),
+      budgetLeft: roundToHundredths(budget.remaining),
       firstsInWindow: calls,
       repeatsInWindow: retries,
       hosts,
@@ -65,7 +65,7 @@
     if (!isRetried) return false;
     if (outcome.kind === OutcomeKind.LOW_CONFIDENCE)
       progress.model = this.options.cascade.largestModel(call.route);
-    metrics.repeats.inc({service: call.service, reason: outcome.kind});
+    metrics.retries.inc({service: call.service, reason: outcome.kind});
     return true;
   }
 
--- a/packages/gateway/src/beliefs/configuration_belief.ts
+++ b/packages/gateway/src/discovery/active_configuration.ts
@@ -4,27 +4,27 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
-import type {WireReader} from './wire_reader.js';
+import type {RecordReader} from './record_reader.js';
 
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly mirror: TopicMirror;
-  readonly reader: WireReader;
+  readonly reader: RecordReader;
 }
 
 type Listener = (configuration: CallConfiguration) => void;
 
 /** The configuration in force at this host. It never goes back to an older version. */
-export class ConfigurationBelief {
+export class ActiveConfiguration {
   private configuration: CallConfiguration | undefined;
-  private replacedAt: number | undefined;
-  private table = new RouteTable([]);
+  private lastReplacedAt: number | undefined;
+  private routeTable = new RouteTable([]);
   private readonly listeners: Listener[] = [];
 
   constructor(private readonly options: Options) {
     options.mirror.onUpdate(({changed}) => {
-      for (const record of changed) this.take(record);
+      for (const record of changed) this.applyRecord(record);
     });
   }
 
@@ -35,17 +35,17 @@
 
   /** When the configuration in force took the place of another one; undefined if it is the first of this process. */
   get changedAt(): number | undefined {
-    return this.replacedAt;
+    return this.lastReplacedAt;
   }
 
   /** The routes of the configuration in force. */
   get routes(): RouteTable {
-    return this.table;
+    return this.routeTable;
   }
 
   /** How long ago the configuration is known to have been the newest, in ms. */
   get ageMs(): number {
-    return this.options.clock.now() - this.options.mirror.provenAt;
+    return this.options.clock.now() - this.options.mirror.freshAsOf;
   }
 
   /** Tells the listener of each configuration that comes into force. */
@@ -53,12 +53,12 @@
     this.listeners.push(listener);
   }
 
-  private take(record: KeyedRecord): void {
+  private applyRecord(record: KeyedRecord): void {
     const {reader, log} = this.options;
     if (record.key !== reader.configurationKey) return;
     if (record.value === undefined) return;
     try {
-      this.adopt(reader.readConfiguration(record), record.offset);
+      this.activate(reader.readConfiguration(record), record.offset);
     } catch (error) {
       log.write('configuration_refused', {
         offset: record.offset,
@@ -67,17 +67,17 @@
     }
   }
 
-  private adopt(next: CallConfiguration, offset: number): void {
+  private activate(next: CallConfiguration, offset: number): void {
     const previous = this.configuration;
     if (previous && next.version <= previous.version) return;
     this.configuration = next;
-    if (previous) this.replacedAt = this.options.clock.now();
-    this.table = new RouteTable(next.routes);
-    this.report(next, previous, offset);
+    if (previous) this.lastReplacedAt = this.options.clock.now();
+    this.routeTable = new RouteTable(next.routes);
+    this.logChange(next, previous, offset);
     for (const listener of this.listeners) listener(next);
   }
 
-  private report(
+  private logChange(
     next: CallConfiguration,
     previous: CallConfiguration | undefined,
     offset: number,
--- a/packages/gateway/src/beliefs/cordons.ts
+++ b/packages/gateway/src/discovery/cordon_registry.ts
@@ -3,38 +3,38 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
-import type {WireReader} from './wire_reader.js';
+import type {RecordReader} from './record_reader.js';
 
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
   /** The copy of the operator's topic. */
   readonly mirror: TopicMirror;
-  readonly reader: WireReader;
+  readonly reader: RecordReader;
 }
 
 type Listener = (order: CordonOrder) => void;
 
 /** Places whose runners get no new calls, by order of the operator. Calls that run there end well. */
-export class Cordons {
+export class CordonRegistry {
   /** Since when this host knows of each, on its clock. */
-  private readonly knownSince = new Map<string, number>();
+  private readonly cordonedSince = new Map<string, number>();
   private readonly listeners: Listener[] = [];
 
   constructor(private readonly options: Options) {
     options.mirror.onUpdate(({changed}) => {
-      for (const record of changed) this.take(record);
+      for (const record of changed) this.applyRecord(record);
     });
   }
 
   /** Whether the runners of a place get no new calls. */
   has(place: string): boolean {
-    return this.knownSince.has(place);
+    return this.cordonedSince.has(place);
   }
 
   /** The places, sorted. */
-  places(): string[] {
-    return [...this.knownSince.keys()].sort();
+  listPlaces(): string[] {
+    return [...this.cordonedSince.keys()].sort();
   }
 
   /** Tells the listener of each order, and of each that was taken away. */
@@ -42,27 +42,27 @@
     this.listeners.push(listener);
   }
 
-  private take(record: KeyedRecord): void {
-    const order = this.options.reader.readPlaceOrder(record);
+  private applyRecord(record: KeyedRecord): void {
+    const order = this.options.reader.readCordonOrder(record);
     if (!order || order.isCordoned === this.has(order.place)) return;
-    if (order.isCordoned) this.begin(order.place, record.offset);
-    else this.end(order.place, record.offset);
+    if (order.isCordoned) this.addCordon(order.place, record.offset);
+    else this.removeCordon(order.place, record.offset);
     for (const listener of this.listeners) listener(order);
   }
 
-  private begin(place: string, offset: number): void {
+  private addCordon(place: string, offset: number): void {
     const {clock, log, mirror} = this.options;
     const now = clock.now();
-    this.knownSince.set(place, now);
-    const ageMs = Math.min(now - mirror.provenAt, Number.MAX_SAFE_INTEGER);
+    this.cordonedSince.set(place, now);
+    const ageMs = Math.min(now - mirror.freshAsOf, Number.MAX_SAFE_INTEGER);
     log.write('place_cordoned', {place, offset, ageMs: Math.round(ageMs)});
   }
 
-  private end(place: string, offset: number): void {
+  private removeCordon(place: string, offset: number): void {
     const {clock, log} = this.options;
     const now = clock.now();
-    const forMs = now - (this.knownSince.get(place) ?? now);
-    this.knownSince.delete(place);
+    const forMs = now - (this.cordonedSince.get(place) ?? now);
+    this.cordonedSince.delete(place);
     log.write('place_uncordoned', {place, offset, forMs: Math.round(forMs)});
   }
 }
--- a/packages/gateway/src/beliefs/wire_reader.ts
+++ b/packages/gateway/src/discovery/record_reader.ts
@@ -8,19 +8,19 @@
 import type {KeyedRecord} from '../records/keyed_record.js';
 
 /** Turns the platform's records into the gateway's types; throws with a remedy on what it can't read. */
-export interface WireReader {
+export interface RecordReader {
   /** The newest configuration's key in the topic of the operator. */
   readonly configurationKey: string;
   readConfiguration(record: KeyedRecord): CallConfiguration;
   /** Undefined if the record is no order for a roll-out. */
-  readOrder(record: KeyedRecord): RolloutOrder | undefined;
+  readRolloutOrder(record: KeyedRecord): RolloutOrder | undefined;
   /** Undefined if the record is no order on a place; one that was removed is the end of the order. */
-  readPlaceOrder(record: KeyedRecord): CordonOrder | undefined;
+  readCordonOrder(record: KeyedRecord): CordonOrder | undefined;
   readRunner(record: KeyedRecord): RunnerEntry;
   /** Undefined if the record is not about a roll-out. */
-  readState(record: KeyedRecord): RolloutState | undefined;
+  readRolloutState(record: KeyedRecord): RolloutState | undefined;
   /** The record that tells operators of a roll-out's phase. */
-  writeState(state: Omit<RolloutState, 'offset'>): {
+  writeRolloutState(state: Omit<RolloutState, 'offset'>): {
     key: string;
     value: string;
   };
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -5,17 +5,17 @@
 import {CallServer} from './calls/call_server.js';
 import {CallForwarder} from './calls/call_forwarder.js';
 import type {GatewaySettings} from './gateway_settings.js';
-import {Leaving} from './lifecycle/leaving.js';
+import {GracefulShutdown} from './lifecycle/graceful_shutdown.js';
 import {MetricsServer} from './lifecycle/metrics_server.js';
 import {ReadinessServer} from './lifecycle/readiness_server.js';
-import {StandstillWatch} from './lifecycle/standstill_watch.js';
+import {StallDetector} from './lifecycle/stall_detector.js';
 import {GatewayMetrics} from './observability/gateway_metrics.js';
-import {LoopLag} from './observability/loop_lag.js';
-import {Exchange} from './parts/exchange.js';
-import type {GatewayOptions} from './parts/gateway_options.js';
-import {HostRegistration} from './parts/host_registration.js';
-import {Knowledge} from './parts/knowledge.js';
-import {observeParts} from './parts/observe_parts.js';
+import {EventLoopLag} from './observability/event_loop_lag.js';
+import {StateSynchronizer} from './host/state_synchronizer.js';
+import type {GatewayOptions} from './host/gateway_options.js';
+import {HostRegistration} from './host/host_registration.js';
+import {HostState} from './host/host_state.js';
+import {registerGauges} from './observability/register_gauges.js';
 import {Topic} from './records/topic.js';
 import {RolloutController} from './rollouts/rollout_controller.js';
 import {RunnerSubset} from './runners/runner_subset.js';
@@ -23,29 +23,29 @@
 import {RunnerChooser} from './runners/runner_chooser.js';
 
 /** Kept back from the bound on withdrawn keys, for the way of a request and slow timers, in ms. */
-const KEY_MARGIN_MS = 400;
+const KEY_BOUND_MARGIN_MS = 400;
 /**
  * How long before it has to refuse keys a host that reaches no other place says that it is not ready, in ms: two
  * looks of a balancer, a second apart, after which it sends callers to places that will serve them.
  */
 const BALANCER_NOTICE_MS = 2_000;
 /** Pause between two rounds of closing rested connections, in ms. */
-const SWEEP_MS = 1_000;
+const MAINTENANCE_INTERVAL_MS = 1_000;
 
 /** Forwards routed calls: everything that one host runs. */
 export class Gateway {
   readonly metrics = new GatewayMetrics();
-  private readonly knowledge: Knowledge;
-  private readonly exchange: Exchange;
-  private readonly lag: LoopLag;
-  private readonly standstill: StandstillWatch;
-  private readonly writer: RolloutController;
-  private readonly door: CallServer;
-  private readonly readiness: ReadinessServer;
+  private readonly state: HostState;
+  private readonly stateSynchronizer: StateSynchronizer;
+  private readonly eventLoopLag: EventLoopLag;
+  private readonly stallDetector: StallDetector;
+  private readonly rolloutController: RolloutController;
+  private readonly callServer: CallServer;
+  private readonly readinessServer: ReadinessServer;
   private readonly metricsServer: MetricsServer;
-  private readonly leaving: Leaving;
-  private readonly registration: HostRegistration;
-  private sweepTimer: Timer | undefined;
+  private readonly gracefulShutdown: GracefulShutdown;
+  private readonly hostRegistration: HostRegistration;
+  private maintenanceTimer: Timer | undefined;
   private wasFresh = false;
   private wasReady = false;
   private settings: GatewaySettings;
@@ -53,35 +53,35 @@
   constructor(private readonly options: GatewayOptions) {
     const {settings, clock, log, store} = options;
     this.settings = settings;
-    this.knowledge = new Knowledge({
+    this.state = new HostState({
       ...options,
       metrics: this.metrics,
-      liveSettings: () => this.settings,
+      currentSettings: () => this.settings,
     });
-    this.lag = new LoopLag({clock});
-    this.standstill = new StandstillWatch({
+    this.eventLoopLag = new EventLoopLag({clock});
+    this.stallDetector = new StallDetector({
       log,
       clock: options.ageClock,
-      changedAt: () => this.knowledge.belief.changedAt,
+      configurationChangedAt: () => this.state.configuration.changedAt,
     });
-    this.exchange = new Exchange(options, this.knowledge);
-    const {roster} = this.knowledge;
-    this.registration = new HostRegistration({
+    this.stateSynchronizer = new StateSynchronizer(options, this.state);
+    const {hostDirectory: roster} = this.state;
+    this.hostRegistration = new HostRegistration({
       clock,
       log,
       store,
-      mirror: this.knowledge.mirrors[Topic.HOSTS],
+      mirror: this.state.mirrors[Topic.HOSTS],
       self: roster.self,
     });
-    this.writer = this.createWriter();
-    this.door = this.createDoor();
-    this.leaving = new Leaving({
+    this.rolloutController = this.createRolloutController();
+    this.callServer = this.createCallServer();
+    this.gracefulShutdown = new GracefulShutdown({
       clock,
       log,
-      door: this.door,
+      callServer: this.callServer,
       graceMs: () => this.settings.graceMs,
     });
-    this.readiness = new ReadinessServer({
+    this.readinessServer = new ReadinessServer({
       ip: settings.ip,
       port: settings.readinessPort,
       path: settings.readinessPath,
@@ -93,36 +93,36 @@
       path: settings.metricsPath,
       registry: this.metrics.registry,
     });
-    observeParts({
-      ...this.knowledge,
+    registerGauges({
+      ...this.state,
       log,
       metrics: this.metrics,
-      lag: this.lag,
-      door: this.door,
-      news: this.exchange.news,
+      eventLoopLag: this.eventLoopLag,
+      callServer: this.callServer,
+      peerSynchronizer: this.stateSynchronizer.peerSynchronizer,
     });
   }
 
   /** Starts to serve; readiness follows when configuration and runners are known. */
   async start(): Promise<void> {
     const {log, settings} = this.options;
-    await this.readiness.start();
-    await this.exchange.listen();
-    await this.door.start();
+    await this.readinessServer.start();
+    await this.stateSynchronizer.listen();
+    await this.callServer.start();
     await this.metricsServer.start().catch(error => {
       log.write('unexpected', {where: 'metrics', message: String(error)});
     });
-    void this.exchange.follow().then(() => this.registration.run());
-    this.writer.start();
-    this.lag.start();
-    this.standstill.start();
-    this.sweep();
+    void this.stateSynchronizer.startFollowing().then(() => this.hostRegistration.run());
+    this.rolloutController.start();
+    this.eventLoopLag.start();
+    this.stallDetector.start();
+    this.runMaintenance();
     log.write('process_started', {
       host: settings.host,
       place: settings.place,
       pid: process.pid,
       program: 'gateway',
-      configurationKnown: this.knowledge.belief.current !== undefined,
+      configurationKnown: this.state.configuration.current !== undefined,
       forMs: Math.round(process.uptime() * 1000),
     });
   }
@@ -146,38 +146,38 @@
   }
 
   /** Stops in good order within the grace period. */
-  async leave(reason: string): Promise<void> {
-    await this.leaving.run(reason);
-    this.halt();
+  async shutDown(reason: string): Promise<void> {
+    await this.gracefulShutdown.run(reason);
+    this.stopImmediately();
   }
 
   /** Stops at once; open calls are cut. */
-  halt(): void {
-    this.registration.stop();
-    this.exchange.unfollow();
-    this.writer.stop();
-    this.knowledge.quarantineKeeper.stop();
-    this.sweepTimer?.cancel();
-    this.lag.stop();
-    this.standstill.stop();
-    this.exchange.close();
-    this.readiness.stop();
+  stopImmediately(): void {
+    this.hostRegistration.stop();
+    this.stateSynchronizer.stopFollowing();
+    this.rolloutController.stop();
+    this.state.quarantineSynchronizer.stop();
+    this.maintenanceTimer?.cancel();
+    this.eventLoopLag.stop();
+    this.stallDetector.stop();
+    this.stateSynchronizer.close();
+    this.readinessServer.stop();
     this.metricsServer.stop();
-    this.door.stop();
+    this.callServer.stop();
   }
 
   private isReady(): boolean {
-    const {belief, directory, rollouts} = this.knowledge;
+    const {configuration: belief, directory, rollouts} = this.state;
     const isReady =
-      !this.leaving.hasBegun &&
+      !this.gracefulShutdown.hasStarted &&
       rollouts.areAgesKnown &&
-      !this.isCutOff &&
+      !this.willRefuseKeysSoon &&
       belief.current !== undefined &&
       directory.all().length > 0 &&
       belief.ageMs < this.maxKeyAgeMs();
     if (isReady !== this.wasReady) {
       this.wasReady = isReady;
-      const reason = this.leaving.hasBegun
+      const reason = this.gracefulShutdown.hasStarted
         ? 'leaving'
         : `configuration ${belief.current?.version ?? 'unknown'}, age ${Math.round(belief.ageMs)} ms`;
       this.options.log.write('readiness_changed', {isReady, reason});
@@ -186,9 +186,9 @@
   }
 
   /** Whether this host will refuse keys soon, since its place is cut off from the store and all others. */
-  private get isCutOff(): boolean {
+  private get willRefuseKeysSoon(): boolean {
     if (this.settings.honoursStaleKeys) return false;
-    const {belief, roster} = this.knowledge;
+    const {configuration: belief, hostDirectory: roster} = this.state;
     const leavesAtMs = this.freshnessBoundMs - BALANCER_NOTICE_MS;
     return belief.ageMs > leavesAtMs && roster.isIsolated;
   }
@@ -201,12 +201,12 @@
 
   /** Age from which a key may have been withdrawn for longer than the platform allows, in ms. */
   private get freshnessBoundMs(): number {
-    return this.settings.keyBoundMs - KEY_MARGIN_MS;
+    return this.settings.keyBoundMs - KEY_BOUND_MARGIN_MS;
   }
 
-  private createWriter(): RolloutController {
+  private createRolloutController(): RolloutController {
     const {ageClock, log, store, reader, settings} = this.options;
-    const {mirrors, roster, rollouts, loads, starts} = this.knowledge;
+    const {mirrors, hostDirectory: roster, rollouts, runnerLoads: loads, rolloutStarts: starts} = this.state;
     return new RolloutController({
       clock: ageClock,
       log,
@@ -216,14 +216,14 @@
       states: mirrors[Topic.STATUS],
       host: settings.host,
       liveHosts: () => roster.listLive().map(({name}) => name),
-      oldRunning: rollout => loads.oldRunning(rollout),
+      oldRunning: rollout => loads.countOldRunning(rollout),
       recordStart: rollout => starts.save(rollout),
     });
   }
 
-  private createDoor(): CallServer {
+  private createCallServer(): CallServer {
     const {clock, random, log, headerNames, settings} = this.options;
-    const {belief} = this.knowledge;
+    const {configuration: belief} = this.state;
     return new CallServer({
       clock,
       random,
@@ -231,21 +231,21 @@
       headerNames: headerNames,
       metrics: this.metrics,
       configuration: belief,
-      forwarder: this.createForwarder(),
+      forwarder: this.createCallForwarder(),
       ip: settings.ip,
       port: settings.callerPort,
       maxKeyAgeMs: () => this.maxKeyAgeMs(),
       maxDenialAgeMs: () => this.settings.configurationBoundMs,
-      mayPredateConfiguration: () => this.standstill.mayPredateConfiguration(),
-      isClosing: () => this.leaving.hasBegun,
+      mayPredateConfiguration: () => this.stallDetector.mayPredateConfiguration(),
+      isClosing: () => this.gracefulShutdown.hasStarted,
     });
   }
 
-  private createForwarder(): CallForwarder {
+  private createCallForwarder(): CallForwarder {
     const {clock, random, log, headerNames, settings} = this.options;
-    const {directory, gate, limits, loads, prefixes, quarantine} =
-      this.knowledge;
-    const {rollouts, roster, sessions} = this.knowledge;
+    const {directory, runnerGate: gate, serviceLimits: limits, runnerLoads: loads, prefixes, quarantine} =
+      this.state;
+    const {rollouts, hostDirectory: roster, sessions} = this.state;
     const assigned = new RunnerSubset({
       clock,
       host: settings.host,
@@ -281,17 +281,17 @@
         lostPlaces: () => roster.findLostPlaces(),
       }),
       cascade: new ModelCascade(),
-      retryBudgetOf: service => limits.budgetOf(service),
-      priorityAdmissionOf: service => limits.urgentFirstOf(service),
+      retryBudgetOf: service => limits.retryBudgetOf(service),
+      priorityAdmissionOf: service => limits.priorityAdmissionOf(service),
       loadsAgeMs: () => loads.ageMs,
-      latencyTargetOf: service => limits.targetOf(service),
+      latencyTargetOf: service => limits.latencyTargetOf(service),
     });
   }
 
-  private sweep(): void {
+  private runMaintenance(): void {
     const {clock, log} = this.options;
-    const {belief, directory, quarantine} = this.knowledge;
-    this.sweepTimer = clock.after(SWEEP_MS, () => this.sweep());
+    const {configuration: belief, directory, quarantine} = this.state;
+    this.maintenanceTimer = clock.after(MAINTENANCE_INTERVAL_MS, () => this.runMaintenance());
     for (const {pool} of directory.all()) pool.closeExpired();
     quarantine.review();
     const ageMs = Math.round(belief.ageMs);
--- a/packages/gateway/src/parts/host_limits.test.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.test.ts
@@ -4,7 +4,7 @@
 import {EventLog} from '../observability/event_log.js';
 import {DirectoryFixture} from '../testing/directory_fixture.js';
 import {PlainReader} from '../testing/plain_reader.js';
-import {HostLimits} from './host_limits.js';
+import {DeclaredLimitExchange} from './declared_limit_exchange.js';
 
 /** A host that knows one runner. */
 function createHost(bornAt?: number) {
@@ -12,9 +12,9 @@
   const {clock, directory} = fixture;
   const log = new EventLog({clock, host: 'h', sink: {write: () => undefined}});
   put(fixture, bornAt);
-  const limits = new HostLimits({clock, log, directory});
-  fixture.onLimit = (entry, change) => limits.noteChange(entry, change);
-  fixture.onGone = id => limits.forget(id);
+  const limits = new DeclaredLimitExchange({clock, log, directory});
+  fixture.onLimit = (entry, change) => limits.recordChange(entry, change);
+  fixture.onGone = id => limits.removeRunner(id);
   const limit = () => directory.all()[0].limit;
   return {fixture, clock, limits, limit};
 }
@@ -38,7 +38,7 @@
   one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   one.clock.advance(700);
   two.clock.advance(5_000);
-  two.limits.take(one.limits.news(), 300);
+  two.limits.applyPeerObservations(one.limits.listObservations(), 300);
   assert.equal(two.limit().perSecond, 2);
   assert.equal(two.limit().ageMs, 1_000);
 });
@@ -46,12 +46,12 @@
 void test('of what several hosts heard the newest counts, in whichever order it comes', () => {
   const host = createHost();
   host.clock.advance(10_000);
-  host.limits.take([{runner: 'one', perSecond: 2, ageMs: 500}], 0);
-  host.limits.take([{runner: 'one', ageMs: 800}], 0);
+  host.limits.applyPeerObservations([{runner: 'one', perSecond: 2, ageMs: 500}], 0);
+  host.limits.applyPeerObservations([{runner: 'one', ageMs: 800}], 0);
   assert.equal(host.limit().perSecond, 2);
-  host.limits.take([{runner: 'one', ageMs: 100}], 0);
+  host.limits.applyPeerObservations([{runner: 'one', ageMs: 100}], 0);
   assert.equal(host.limit().perSecond, undefined);
-  host.limits.take([{runner: 'one', perSecond: 2, ageMs: 400}], 0);
+  host.limits.applyPeerObservations([{runner: 'one', perSecond: 2, ageMs: 400}], 0);
   assert.equal(host.limit().perSecond, undefined);
 });
 
@@ -60,11 +60,11 @@
   one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   put(two.fixture, 9_000);
   two.clock.advance(100);
-  two.limits.take(one.limits.news(), 0);
+  two.limits.applyPeerObservations(one.limits.listObservations(), 0);
   assert.equal(two.limit().perSecond, undefined);
   put(one.fixture, 9_000);
   assert.equal(one.limit().perSecond, undefined);
-  assert.deepEqual(one.limits.news(), []);
+  assert.deepEqual(one.limits.listObservations(), []);
 });
 
 void test('only a host that would send far too much is told at once', () => {
--- a/packages/gateway/src/parts/host_limits.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.ts
@@ -1,6 +1,6 @@
 import type {RunnerEntry} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {EventLog} from '../observability/event_log.js';
 import {isUrgentLimit} from '../runners/is_urgent_limit.js';
 import type {LimitChange} from '../runners/limit_change.js';
@@ -15,20 +15,20 @@
 }
 
 /** Limits that runners name, as hosts tell them to each other: of what several heard of a runner the newest counts. */
-export class HostLimits {
-  private readonly listeners: Array<(change: LimitChange) => void> = [];
+export class DeclaredLimitExchange {
+  private readonly urgentListeners: Array<(change: LimitChange) => void> = [];
   /** Runners that ever named a limit, by their ids: few, and asked for with each exchange. */
-  private readonly named = new Map<string, Runner>();
+  private readonly declaringRunners = new Map<string, Runner>();
 
   constructor(private readonly options: Options) {}
 
   /** Calls the listener when a runner is found to be in need, or in much greater need than before. */
-  onUrgent(listener: (change: LimitChange) => void): void {
-    this.listeners.push(listener);
+  onUrgentChange(listener: (change: LimitChange) => void): void {
+    this.urgentListeners.push(listener);
   }
 
   /** Notes that what is known of a runner's limit has changed. */
-  noteChange({id: runner, service}: RunnerEntry, change: LimitChange): void {
+  recordChange({id: runner, service}: RunnerEntry, change: LimitChange): void {
     const {perSecond, previous, malformed: text, isFromPeer: isTold} = change;
     const {log} = this.options;
     if (text !== undefined)
@@ -36,16 +36,16 @@
     const source = isTold ? 'another host' : 'its answer';
     const ageMs = Math.round(change.ageMs);
     const line = {runner, service, perSecond, previous, source, ageMs};
-    this.remember(runner);
+    this.track(runner);
     log.write('runner_limit_changed', line);
     if (!isUrgentLimit(perSecond, previous)) return;
-    for (const listener of this.listeners) listener(change);
+    for (const listener of this.urgentListeners) listener(change);
   }
 
   /** All that this host knows. */
-  news(): LimitObservation[] {
+  listObservations(): LimitObservation[] {
     const news: LimitObservation[] = [];
-    for (const {entry, limit} of this.named.values()) {
+    for (const {entry, limit} of this.declaringRunners.values()) {
       const {perSecond, ageMs} = limit;
       news.push({
         runner: getIncarnationId(entry),
@@ -61,7 +61,7 @@
    *
    * @param sinceMs time since it told that at most, in ms; 0 if that is not known
    */
-  take(news: readonly LimitObservation[], sinceMs: number): void {
+  applyPeerObservations(news: readonly LimitObservation[], sinceMs: number): void {
     if (news.length === 0) return;
     const asOf = this.options.clock.now() - sinceMs;
     const byStart = new Map(news.map(one => [one.runner, one]));
@@ -73,9 +73,9 @@
 
   /** Whether a host that knows this much needs to hear at once what this one knows. */
   isUrgentFor(known: readonly LimitObservation[]): boolean {
-    if (this.named.size === 0) return false;
+    if (this.declaringRunners.size === 0) return false;
     const byStart = new Map(known.map(one => [one.runner, one]));
-    return [...this.named.values()].some(({entry, limit}) => {
+    return [...this.declaringRunners.values()].some(({entry, limit}) => {
       if (limit.perSecond === undefined) return false;
       const told = byStart.get(getIncarnationId(entry));
       if (told && told.ageMs <= limit.ageMs) return false;
@@ -84,12 +84,12 @@
   }
 
   /** Forgets a runner that is gone. */
-  forget(id: string): void {
-    this.named.delete(id);
+  removeRunner(id: string): void {
+    this.declaringRunners.delete(id);
   }
 
-  private remember(id: string): void {
+  private track(id: string): void {
     const runner = this.options.directory.get(id);
-    if (runner) this.named.set(id, runner);
+    if (runner) this.declaringRunners.set(id, runner);
   }
 }
--- a/packages/gateway/src/parts/gateway_options.ts
+++ b/packages/gateway/src/host/gateway_options.ts
@@ -1,5 +1,5 @@
 import type {Clock, RandomSource} from '@bayspool/kernel';
-import type {WireReader} from '../beliefs/wire_reader.js';
+import type {RecordReader} from '../discovery/record_reader.js';
 import type {HeaderNames} from '../calls/header_names.js';
 import type {GatewaySettings} from '../gateway_settings.js';
 import type {EventLog} from '../observability/event_log.js';
@@ -16,6 +16,6 @@
   readonly random: RandomSource;
   readonly log: EventLog;
   readonly store: RecordStore;
-  readonly reader: WireReader;
+  readonly reader: RecordReader;
   readonly headerNames: HeaderNames;
 }
--- a/packages/gateway/src/parts/host_registration.ts
+++ b/packages/gateway/src/host/host_registration.ts
@@ -16,7 +16,7 @@
 }
 
 /** Pause after this host could not be entered in the store, in ms. */
-const ENTER_RETRY_MS = 400;
+const RETRY_DELAY_MS = 400;
 
 /** Makes this host known to the others. */
 export class HostRegistration {
@@ -43,7 +43,7 @@
           message: String(error),
         });
         await new Promise<void>(resolve => {
-          clock.after(ENTER_RETRY_MS, resolve);
+          clock.after(RETRY_DELAY_MS, resolve);
         });
       }
     }
--- a/packages/gateway/src/parts/knowledge.ts
+++ b/packages/gateway/src/host/host_state.ts
@@ -1,13 +1,13 @@
 import {Quarantine, SessionVersions} from '@bayspool/decisions/calls';
 import type {RunnerRateLimit, RunnerEntry} from '@bayspool/decisions/calls';
-import {ConfigurationBelief} from '../beliefs/configuration_belief.js';
-import {Cordons} from '../beliefs/cordons.js';
-import {RunnerDirectory} from '../beliefs/runner_directory.js';
+import {ActiveConfiguration} from '../discovery/active_configuration.js';
+import {CordonRegistry} from '../discovery/cordon_registry.js';
+import {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {GatewaySettings} from '../gateway_settings.js';
 import type {GatewayMetrics} from '../observability/gateway_metrics.js';
 import {HostDirectory} from '../peers/host_directory.js';
-import {QuarantineKeeper} from '../quarantine/quarantine_keeper.js';
-import {Refusals} from '../records/refusals.js';
+import {QuarantineSynchronizer} from '../quarantine/quarantine_synchronizer.js';
+import {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import {StoreHealth} from '../records/store_health.js';
 import {TopicMirror} from '../records/topic_mirror.js';
 import {Topic} from '../records/topic.js';
@@ -22,27 +22,27 @@
 import {RunnerGate} from '../runners/runner_gate.js';
 import {SentCalls} from '../runners/sent_calls.js';
 import type {GatewayOptions} from './gateway_options.js';
-import {HostLimits} from './host_limits.js';
-import {HostLoads} from './host_loads.js';
+import {DeclaredLimitExchange} from './declared_limit_exchange.js';
+import {RunnerLoadExchange} from './runner_load_exchange.js';
 import {ServiceLimits} from './service_limits.js';
 
 interface Options extends GatewayOptions {
   readonly metrics: GatewayMetrics;
   /** The settings in force. */
-  readonly liveSettings: () => GatewaySettings;
+  readonly currentSettings: () => GatewaySettings;
 }
 
 /**
  * Age of what is known up to which this host counts as in touch, in ms: over the age at which it reads the store
  * itself, and the time that this takes.
  */
-const TOUCH_MS = 3_600;
+const CONNECTED_MAX_AGE_MS = 3_600;
 
 /** How long a call that was sent is remembered, in ms: over the longest window of a bound. */
-const SENT_KEPT_MS = 5_000;
+const SENT_CALL_TTL_MS = 5_000;
 
 /** What a host knows: copies of the store's topics, and what follows from them. */
-export class Knowledge {
+export class HostState {
   /** Copies of the topics. */
   readonly mirrors: Record<Topic, TopicMirror>;
   /** Whether the store answers this host. */
@@ -51,35 +51,35 @@
   /** Parts of prompts that runners probably keep. */
   readonly prefixes: PrefixCacheIndex;
   /** The hosts. */
-  readonly roster: HostDirectory;
+  readonly hostDirectory: HostDirectory;
   /** The configuration in force. */
-  readonly belief: ConfigurationBelief;
+  readonly configuration: ActiveConfiguration;
   /** What this host may use of each service. */
-  readonly limits: ServiceLimits;
+  readonly serviceLimits: ServiceLimits;
   /** Places that operators keep new calls from. */
-  readonly cordons: Cordons;
+  readonly cordons: CordonRegistry;
   /** What keeps requests from runners. */
-  readonly gate: RunnerGate;
+  readonly runnerGate: RunnerGate;
   /** The runners. */
   readonly directory: RunnerDirectory;
   /** Which version each session has. */
   readonly sessions: SessionVersions;
   /** When roll-outs started. */
-  readonly starts: RolloutStartRecords;
+  readonly rolloutStarts: RolloutStartRecords;
   /** The roll-outs. */
   readonly rollouts: RolloutRegistry;
   /** Which requests are held back, as runners ended under them. */
   readonly quarantine: Quarantine;
   /** Keeps that in the store. */
-  readonly quarantineKeeper: QuarantineKeeper;
+  readonly quarantineSynchronizer: QuarantineSynchronizer;
   /** Limits that runners name. */
-  readonly hostLimits: HostLimits;
+  readonly declaredLimits: DeclaredLimitExchange;
   /** Loads at the runners. */
-  readonly loads: HostLoads;
-  private readonly patience = new ConnectTimeout();
+  readonly runnerLoads: RunnerLoadExchange;
+  private readonly connectTimeout = new ConnectTimeout();
 
   constructor(private readonly options: Options) {
-    const {settings, liveSettings, clock, ageClock} = options;
+    const {settings, currentSettings: liveSettings, clock, ageClock} = options;
     const {log, store, reader} = options;
     this.mirrors = {
       [Topic.OPERATOR]: new TopicMirror(Topic.OPERATOR),
@@ -89,15 +89,15 @@
     };
     const {mirrors} = this;
     const freshness = mirrors[Topic.OPERATOR];
-    const refusals = new Refusals({log, metrics: options.metrics});
+    const refusals = new RefusedEntryReporter({log, metrics: options.metrics});
     this.metrics = options.metrics;
     this.prefixes = new PrefixCacheIndex({clock});
     this.storeHealth = new StoreHealth({clock, log});
-    this.roster = new HostDirectory({
+    this.hostDirectory = new HostDirectory({
       clock,
       log,
       mirror: mirrors[Topic.HOSTS],
-      refusals,
+      refusedEntries: refusals,
       self: {
         name: settings.host,
         place: settings.place,
@@ -105,60 +105,60 @@
         capacity: settings.capacity,
       },
     });
-    this.belief = new ConfigurationBelief({
+    this.configuration = new ActiveConfiguration({
       clock: ageClock,
       log,
       reader,
       mirror: freshness,
     });
-    this.cordons = new Cordons({
+    this.cordons = new CordonRegistry({
       clock: ageClock,
       log,
       reader,
       mirror: freshness,
     });
-    this.limits = new ServiceLimits({
+    this.serviceLimits = new ServiceLimits({
       clock,
-      belief: this.belief,
-      roster: this.roster,
-      settings: liveSettings,
+      configuration: this.configuration,
+      hostDirectory: this.hostDirectory,
+      currentSettings: liveSettings,
       retryWindowMs: settings.retryWindowMs,
     });
     const {cordons} = this;
     const cold = new ColdStartBound({
       clock,
       host: settings.host,
-      hostsOf: place => this.roster.listRegisteredIn(place),
-      allHosts: () => this.roster.listRegistered(),
-      limitsOf: service => this.limits.coldBoundOf(service),
+      hostsOf: place => this.hostDirectory.listRegisteredIn(place),
+      allHosts: () => this.hostDirectory.listRegistered(),
+      limitsOf: service => this.serviceLimits.coldStartLimitOf(service),
     });
     const named = new DeclaredLimitBound({
       clock,
       host: settings.host,
-      hosts: () => (this.roster.isLoaded ? this.roster.listRegistered() : []),
-      tolerance: () => limitTolerance(liveSettings()),
+      hosts: () => (this.hostDirectory.isLoaded ? this.hostDirectory.listRegistered() : []),
+      tolerance: () => getLimitTolerance(liveSettings()),
     });
-    const sent = new SentCalls({clock, retentionMs: SENT_KEPT_MS});
-    this.gate = new RunnerGate({cordons, bounds: [cold, named], sent});
+    const sent = new SentCalls({clock, retentionMs: SENT_CALL_TTL_MS});
+    this.runnerGate = new RunnerGate({cordons, bounds: [cold, named], sent});
     this.directory = new RunnerDirectory({
       clock: ageClock,
       log,
       reader,
-      freshness,
+      freshnessMirror: freshness,
       mirror: mirrors[Topic.RUNNERS],
-      refusals,
+      refusedEntries: refusals,
       isCordoned: place => cordons.has(place),
-      onGone: id => {
+      onRemoved: id => {
         this.prefixes.removeRunner(id);
         sent.removeRunner(id);
-        this.hostLimits.forget(id);
+        this.declaredLimits.removeRunner(id);
       },
       createRunner: entry => this.createRunner(entry),
     });
-    cordons.onChange(() => this.directory.forgetTakers());
-    this.starts = new RolloutStartRecords({
+    cordons.onChange(() => this.directory.invalidateAccepting());
+    this.rolloutStarts = new RolloutStartRecords({
       clock,
-      refusals,
+      refusedEntries: refusals,
       store,
       mirror: mirrors[Topic.HOSTS],
     });
@@ -170,32 +170,32 @@
       clock,
       log,
       reader,
-      refusals,
+      refusedEntries: refusals,
       sessions: this.sessions,
       orders: freshness,
       states: mirrors[Topic.STATUS],
-      isConnected: () => ageClock.now() - freshness.provenAt < TOUCH_MS,
-      startRecords: this.starts,
-      hostCount: () => this.roster.liveCount,
+      isConnected: () => ageClock.now() - freshness.freshAsOf < CONNECTED_MAX_AGE_MS,
+      startRecords: this.rolloutStarts,
+      hostCount: () => this.hostDirectory.liveCount,
       exposureBounds: () => {
         const {exposureShare: share, exposureCalls: calls} = liveSettings();
         return {share, calls};
       },
     });
     this.quarantine = new Quarantine({clock});
-    const {directory, rollouts, prefixes, quarantine, roster} = this;
-    this.quarantineKeeper = new QuarantineKeeper({
+    const {directory, rollouts, prefixes, quarantine, hostDirectory: roster} = this;
+    this.quarantineSynchronizer = new QuarantineSynchronizer({
       clock,
       log,
       store,
-      refusals,
+      refusedEntries: refusals,
       quarantine,
       mirror: mirrors[Topic.HOSTS],
       host: settings.host,
-      hosts: () => roster.listLive().map(({name}) => name),
+      listLiveHosts: () => roster.listLive().map(({name}) => name),
     });
-    this.hostLimits = new HostLimits({clock, log, directory});
-    this.loads = new HostLoads({
+    this.declaredLimits = new DeclaredLimitExchange({clock, log, directory});
+    this.runnerLoads = new RunnerLoadExchange({
       clock,
       directory,
       rollouts,
@@ -209,22 +209,22 @@
     const {service} = entry;
     const pool = new ConnectionPool({
       clock,
-      connectTimeout: this.patience,
+      connectTimeout: this.connectTimeout,
       address: entry.address,
-      maxConnections: () => this.limits.maxConnections(service),
-      onOpened: () => metrics.connections.inc({service}),
+      maxConnections: () => this.serviceLimits.maxConnections(service),
+      onOpened: () => metrics.openedConnections.inc({service}),
     });
     return new Runner({
       clock,
       entry,
       pool,
-      onReplaced: () => this.directory.forgetTakers(),
-      onLimitChange: change => this.hostLimits.noteChange(entry, change),
+      onReplaced: () => this.directory.invalidateAccepting(),
+      onLimitChange: change => this.declaredLimits.recordChange(entry, change),
     });
   }
 }
 
-function limitTolerance(
+function getLimitTolerance(
   settings: GatewaySettings,
 ): Omit<RunnerRateLimit, 'perSecond'> {
   return {
--- a/packages/gateway/src/parts/host_loads.test.ts
+++ b/packages/gateway/src/host/runner_load_exchange.test.ts
@@ -4,7 +4,7 @@
 import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {DirectoryFixture} from '../testing/directory_fixture.js';
 import {PlainReader} from '../testing/plain_reader.js';
-import {HostLoads} from './host_loads.js';
+import {RunnerLoadExchange} from './runner_load_exchange.js';
 
 const prompt = {
   tokens: 30,
@@ -24,7 +24,7 @@
   } as unknown as RolloutRegistry;
   const {clock} = fixture;
   const quarantine = new Quarantine({clock});
-  const loads = new HostLoads({
+  const loads = new RunnerLoadExchange({
     clock,
     directory,
     prefixes,
@@ -51,7 +51,7 @@
 }
 
 function tell(from: Host, to: Host): void {
-  to.loads.takeRemote(from.loads.ownDigest());
+  to.loads.applyPeerDigest(from.loads.createDigest());
 }
 
 void test('what another host tells of an earlier start is not believed of a later one under the same id', () => {
--- a/packages/gateway/src/parts/host_loads.ts
+++ b/packages/gateway/src/host/runner_load_exchange.ts
@@ -1,6 +1,6 @@
 import type {Quarantine} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {LoadDigest} from '../peers/load_digest.js';
 import type {Rollout} from '../rollouts/rollout.js';
 import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
@@ -17,28 +17,28 @@
 }
 
 /** Weight of outcomes under which a runner without running requests is not told of. */
-const MIN_TOLD_WEIGHT = 0.05;
+const MIN_REPORTED_WEIGHT = 0.05;
 
 /** What counts for a runner of which nobody told. */
-const NOTHING = [0, 0, 0, 0] as const;
+const NO_LOAD = [0, 0, 0, 0] as const;
 
 /** Loads and outcomes at runners, as this host and the others tell them to each other. */
-export class HostLoads {
-  private takenAt = -Infinity;
+export class RunnerLoadExchange {
+  private lastAppliedAt = -Infinity;
 
   constructor(private readonly options: Options) {}
 
   /** Time since other hosts last told, in ms. What a reader tells of another place is older by half a second. */
   get ageMs(): number {
-    return this.options.clock.now() - this.takenAt;
+    return this.options.clock.now() - this.lastAppliedAt;
   }
 
   /** What this host tells the others. */
-  ownDigest(): LoadDigest {
+  createDigest(): LoadDigest {
     const runners: Record<string, [number, number, number, number]> = {};
     for (const {entry, ownLoad} of this.options.directory.all()) {
       const {running, pendingMs, ok, failed} = ownLoad;
-      if (running === 0 && ok + failed < MIN_TOLD_WEIGHT) continue;
+      if (running === 0 && ok + failed < MIN_REPORTED_WEIGHT) continue;
       runners[getIncarnationId(entry)] = [
         running,
         Math.round(pendingMs),
@@ -51,21 +51,21 @@
         .all()
         .map(rollout => [
           rollout.order.service,
-          rollout.createDigest(this.oldRunning(rollout)),
+          rollout.createDigest(this.countOldRunning(rollout)),
         ]),
     );
     const quarantine = this.options.quarantine.createDigest();
-    return {runners, rollouts, parts: this.ownParts(), quarantine};
+    return {runners, rollouts, parts: this.collectPromptParts(), quarantine};
   }
 
   /** Takes over what the other hosts told, summed over them. */
-  takeRemote({runners, rollouts, parts = {}, quarantine}: LoadDigest): void {
+  applyPeerDigest({runners, rollouts, parts = {}, quarantine}: LoadDigest): void {
     const {clock, directory, prefixes} = this.options;
-    this.takenAt = clock.now();
+    this.lastAppliedAt = clock.now();
     for (const runner of directory.all()) {
       // What is told of another start under the same id is not about this one.
       const start = getIncarnationId(runner.entry);
-      const [running, pendingMs, ok, failed] = runners[start] ?? NOTHING;
+      const [running, pendingMs, ok, failed] = runners[start] ?? NO_LOAD;
       runner.peerLoad.updateFromPeers({running, pendingMs, ok, failed});
       const keys = parts[start];
       if (keys) prefixes.addKeysFromPeers(runner.entry.id, keys);
@@ -74,7 +74,7 @@
     if (quarantine) this.options.quarantine.mergeDigest(quarantine);
   }
 
-  private ownParts(): PartKeysByRunner {
+  private collectPromptParts(): PartKeysByRunner {
     const news = this.options.prefixes.collectRecentKeys();
     const parts: Record<string, readonly number[]> = {};
     for (const {entry} of this.options.directory.all()) {
@@ -85,7 +85,7 @@
   }
 
   /** Requests of this host that run on versions which the roll-out replaces. */
-  oldRunning({order}: Rollout): number {
+  countOldRunning({order}: Rollout): number {
     return this.options.directory
       .all()
       .filter(
--- a/packages/gateway/src/parts/exchange.ts
+++ b/packages/gateway/src/host/state_synchronizer.ts
@@ -11,130 +11,130 @@
 import type {TopicMirror} from '../records/topic_mirror.js';
 import type {LimitChange} from '../runners/limit_change.js';
 import type {GatewayOptions} from './gateway_options.js';
-import type {Knowledge} from './knowledge.js';
+import type {HostState} from './host_state.js';
 
 /** How long one read of the operator's topic waits, in ms: the age of what hosts know in calm times. */
-const OPERATOR_WAIT_MS = 1_000;
+const OPERATOR_LONG_POLL_MS = 1_000;
 /** The same for topics whose age does not matter; a record ends the wait at once. */
-const OTHER_WAIT_MS = 10_000;
+const DEFAULT_LONG_POLL_MS = 10_000;
 /** What keeps a host's knowledge current: the store's followers and the exchange with other hosts. */
-export class Exchange {
+export class StateSynchronizer {
   /** Decides which hosts read the store. */
-  readonly news: PeerSynchronizer;
-  private readonly seedStart: SeedBootstrap;
-  private readonly board: LoadDigestRegistry;
-  private readonly desk: SyncProtocol;
-  private readonly client: PeerClient;
-  private readonly server: PeerServer;
-  private readonly gate: ReadGate;
-  private readonly teller: LimitBroadcaster;
+  readonly peerSynchronizer: PeerSynchronizer;
+  private readonly seedBootstrap: SeedBootstrap;
+  private readonly loadDigests: LoadDigestRegistry;
+  private readonly syncProtocol: SyncProtocol;
+  private readonly peerClient: PeerClient;
+  private readonly peerServer: PeerServer;
+  private readonly readGate: ReadGate;
+  private readonly limitBroadcaster: LimitBroadcaster;
   private readonly followers: readonly TopicFollower[];
 
   constructor(
     private readonly options: GatewayOptions,
-    private readonly knowledge: Knowledge,
+    private readonly state: HostState,
   ) {
     const {settings, clock, log} = options;
-    const {loads} = knowledge;
-    this.board = new LoadDigestRegistry({
+    const {runnerLoads: loads} = state;
+    this.loadDigests = new LoadDigestRegistry({
       clock,
       place: settings.place,
-      createOwnDigest: () => loads.ownDigest(),
+      createOwnDigest: () => loads.createDigest(),
     });
-    this.desk = this.createDesk();
-    this.client = new PeerClient({clock});
-    this.server = new PeerServer({
+    this.syncProtocol = this.createSyncProtocol();
+    this.peerClient = new PeerClient({clock});
+    this.peerServer = new PeerServer({
       ip: settings.ip,
       port: settings.peerPort,
-      protocol: this.desk,
+      protocol: this.syncProtocol,
       log,
     });
-    this.seedStart = this.createSeedStart();
-    this.gate = new ReadGate({clock, isOpen: () => this.news.readsStore});
-    const {client, desk} = this;
-    const {roster} = knowledge;
-    this.teller = new LimitBroadcaster({
+    this.seedBootstrap = this.createSeedBootstrap();
+    this.readGate = new ReadGate({clock, isOpen: () => this.peerSynchronizer.readsStore});
+    const {peerClient: client, syncProtocol: desk} = this;
+    const {hostDirectory: roster} = state;
+    this.limitBroadcaster = new LimitBroadcaster({
       clock: options.ageClock,
       hostDirectory: roster,
       client,
       protocol: desk,
     });
-    knowledge.hostLimits.onUrgent(change => this.spreadLimit(change));
-    this.news = this.createNews();
-    this.followers = Object.values(knowledge.mirrors).map(mirror =>
+    state.declaredLimits.onUrgentChange(change => this.publishLimitChange(change));
+    this.peerSynchronizer = this.createPeerSynchronizer();
+    this.followers = Object.values(state.mirrors).map(mirror =>
       this.createFollower(mirror),
     );
   }
 
   /** Answers other hosts from now on. */
   listen(): Promise<void> {
-    return this.server.start();
+    return this.peerServer.start();
   }
 
   /** Follows the store and the other hosts from now on; resolves when the seeds have been asked. */
-  async follow(): Promise<void> {
-    this.news.start();
-    await this.seedStart.run();
+  async startFollowing(): Promise<void> {
+    this.peerSynchronizer.start();
+    await this.seedBootstrap.run();
     for (const follower of this.followers) follower.start();
   }
 
   /** Stops following. */
-  unfollow(): void {
-    this.news.stop();
-    this.seedStart.stop();
+  stopFollowing(): void {
+    this.peerSynchronizer.stop();
+    this.seedBootstrap.stop();
     for (const follower of this.followers) follower.stop();
-    this.gate.stop();
+    this.readGate.stop();
   }
 
   /** Closes what leads to other hosts. */
   close(): void {
-    this.server.stop();
-    this.client.stop();
+    this.peerServer.stop();
+    this.peerClient.stop();
   }
 
   /** Loads, and what is told of roll-outs, count from the first answer on, also from a seed's. */
-  private takeNews(): void {
-    this.knowledge.loads.takeRemote(this.board.sumOthers());
+  private applyPeerLoads(): void {
+    this.state.runnerLoads.applyPeerDigest(this.loadDigests.sumOthers());
   }
 
   /** What another host told has reached the readers already. */
-  private spreadLimit({isFromPeer: isTold}: LimitChange): void {
-    this.desk.publishLimits();
-    if (!isTold) this.teller.scheduleBroadcast();
+  private publishLimitChange({isFromPeer: isTold}: LimitChange): void {
+    this.syncProtocol.publishLimits();
+    if (!isTold) this.limitBroadcaster.scheduleBroadcast();
   }
 
-  private createDesk(): SyncProtocol {
-    const {hostLimits: limits, mirrors, roster, storeHealth} = this.knowledge;
+  private createSyncProtocol(): SyncProtocol {
+    const {declaredLimits: limits, mirrors, hostDirectory: roster, storeHealth} = this.state;
     return new SyncProtocol({
       storeHealth: storeHealth,
       clock: this.options.ageClock,
       freshnessMirror: mirrors[Topic.OPERATOR],
       mirrors: Object.values(mirrors),
-      loadDigests: this.board,
+      loadDigests: this.loadDigests,
       limits,
       hostDirectory: roster,
     });
   }
 
-  private createSeedStart(): SeedBootstrap {
+  private createSeedBootstrap(): SeedBootstrap {
     const {settings, ageClock, log} = this.options;
-    const {mirrors, roster} = this.knowledge;
+    const {mirrors, hostDirectory: roster} = this.state;
     return new SeedBootstrap({
       clock: ageClock,
       log,
-      client: this.client,
-      protocol: this.desk,
+      client: this.peerClient,
+      protocol: this.syncProtocol,
       mirrors: Object.values(mirrors),
       ownAddress: roster.self.address,
       seeds: settings.seeds,
       isFirstStart: settings.isFirstStart,
-      onSync: () => this.takeNews(),
+      onSync: () => this.applyPeerLoads(),
     });
   }
 
-  private createNews(): PeerSynchronizer {
+  private createPeerSynchronizer(): PeerSynchronizer {
     const {ageClock, random, log, settings} = this.options;
-    const {mirrors, roster, metrics} = this.knowledge;
+    const {mirrors, hostDirectory: roster, metrics} = this.state;
     return new PeerSynchronizer({
       clock: ageClock,
       random,
@@ -142,12 +142,12 @@
       metrics,
       freshnessMirror: mirrors[Topic.OPERATOR],
       configurationBoundMs: settings.configurationBoundMs,
-      waitsForSeeds: this.seedStart.waitsForSeeds,
+      waitsForSeeds: this.seedBootstrap.waitsForSeeds,
       hostDirectory: roster,
-      client: this.client,
-      protocol: this.desk,
-      waitUntilReader: () => this.gate.wait(),
-      onSync: () => this.takeNews(),
+      client: this.peerClient,
+      protocol: this.syncProtocol,
+      waitUntilReader: () => this.readGate.wait(),
+      onSync: () => this.applyPeerLoads(),
     });
   }
 
@@ -159,25 +159,25 @@
       store,
       mirror,
       log,
-      health: this.knowledge.storeHealth,
-      waitMs: () => this.waitOf(mirror.topic),
-      isWanted: () => this.isWanted(mirror),
-      waitWanted: () => this.gate.wait(),
+      health: this.state.storeHealth,
+      longPollMs: () => this.getLongPollMs(mirror.topic),
+      shouldRead: () => this.shouldRead(mirror),
+      waitUntilReader: () => this.readGate.wait(),
     });
   }
 
-  private isWanted({isLoaded, topic}: TopicMirror): boolean {
-    return !isLoaded || this.reads(topic);
+  private shouldRead({isLoaded, topic}: TopicMirror): boolean {
+    return !isLoaded || this.isReaderOf(topic);
   }
 
   /** A host that knows nothing current does not wait: an answer tells at once that nothing is new. */
-  private waitOf(topic: Topic): number {
-    if (topic !== Topic.OPERATOR) return OTHER_WAIT_MS;
-    return this.news.isStale ? 0 : OPERATOR_WAIT_MS;
+  private getLongPollMs(topic: Topic): number {
+    if (topic !== Topic.OPERATOR) return DEFAULT_LONG_POLL_MS;
+    return this.peerSynchronizer.isStale ? 0 : OPERATOR_LONG_POLL_MS;
   }
 
-  private reads(topic: Topic): boolean {
-    const {news} = this;
+  private isReaderOf(topic: Topic): boolean {
+    const {peerSynchronizer: news} = this;
     return topic === Topic.OPERATOR ? news.readsStore : news.readsAllTopics;
   }
 }
--- a/packages/gateway/src/http/request_whole.ts
+++ b/packages/gateway/src/http/fetch_response.ts
@@ -1,7 +1,7 @@
 import {request as startRequest} from 'node:http';
 import type {Agent, OutgoingHttpHeaders} from 'node:http';
 import type {Clock} from '@bayspool/kernel';
-import type {ReceivedAnswer} from './received_answer.js';
+import type {HttpResponse} from './http_response.js';
 
 interface Options {
   readonly clock: Clock;
@@ -18,7 +18,7 @@
 }
 
 /** Sends a request to a peer or the store; rejects when the whole answer does not come in time. */
-export function requestWhole(options: Options): Promise<ReceivedAnswer> {
+export function fetchResponse(options: Options): Promise<HttpResponse> {
   const {clock, agent, address, method, path, body, timeoutMs} = options;
   const [host, port] = address.split(':');
   const length =
--- a/packages/gateway/src/http/received_answer.ts
+++ b/packages/gateway/src/http/http_response.ts
@@ -1,5 +1,5 @@
 /** An answer that was received whole. */
-export interface ReceivedAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
--- a/packages/gateway/src/lifecycle/leaving.test.ts
+++ b/packages/gateway/src/lifecycle/graceful_shutdown.test.ts
@@ -31,7 +31,7 @@
     setTimeout(() => answerWhole(request, response), 1_500);
   const running = fixture.call();
   await fixture.waitFor(() => runner.received.length === 1);
-  const left = fixture.hosts[0].gateway.leave('test');
+  const left = fixture.hosts[0].gateway.shutDown('test');
   assert.equal(await fixture.readiness(), 503);
   runner.script = answerWhole;
   const late = await fixture.call();
@@ -44,7 +44,7 @@
 void test('a kept connection ends behind its answer', async () => {
   const agent = new Agent({keepAlive: true, maxSockets: 1});
   await fixture.call({agent});
-  const left = fixture.hosts[0].gateway.leave('test');
+  const left = fixture.hosts[0].gateway.shutDown('test');
   const answer = await fixture.call({agent});
   assert.equal(answer.status, 200);
   assert.equal(answer.headers.connection, 'close');
@@ -69,7 +69,7 @@
   const running = fixture.call({agent});
   await fixture.waitFor(() => runner.received.length === 1);
   await new Promise(resolve => setTimeout(resolve, 100));
-  const left = fixture.hosts[0].gateway.leave('test');
+  const left = fixture.hosts[0].gateway.shutDown('test');
   const answer = await running;
   assert.notEqual(answer.headers.connection, 'close');
   await new Promise(resolve => setTimeout(resolve, 100));
@@ -83,7 +83,7 @@
   const hanging = fixture.call({headers: {[names.deadline]: '20000'}});
   await fixture.waitFor(() => runner.received.length === 1);
   const startedAt = performance.now();
-  await fixture.hosts[0].gateway.leave('test');
+  await fixture.hosts[0].gateway.shutDown('test');
   assert.ok(performance.now() - startedAt < 6_000);
   assert.equal((await hanging).status, 502);
 });
--- a/packages/gateway/src/lifecycle/cut_off.test.ts
+++ b/packages/gateway/src/lifecycle/isolated_place.test.ts
@@ -26,7 +26,7 @@
 });
 
 /** A host in each place; the first one has a store of its own, with which it can be cut off. */
-async function startPlaces(extra: {honoursStaleKeys?: boolean} = {}) {
+async function startHostPerPlace(extra: {honoursStaleKeys?: boolean} = {}) {
   for (const [index, place] of PLACES.entries())
     await fixture.startHost(
       {place, ...extra},
@@ -38,15 +38,15 @@
 }
 
 /** Lets the first host reach nothing outside of its place. */
-function cutOff(): number {
+function isolateFirstHost(): number {
   ownStore.isDown = true;
-  for (const {gateway} of fixture.hosts.slice(1)) gateway.halt();
+  for (const {gateway} of fixture.hosts.slice(1)) gateway.stopImmediately();
   return performance.now();
 }
 
 void test('a place that is cut off sends callers elsewhere two seconds before it refuses them', async () => {
-  await startPlaces();
-  const cutAt = cutOff();
+  await startHostPerPlace();
+  const cutAt = isolateFirstHost();
   await fixture.waitFor(async () => (await fixture.readiness()) === 503);
   const leftAt = performance.now();
   assert.equal((await fixture.call({headers})).status, 200);
@@ -59,14 +59,14 @@
 });
 
 void test('a place that is cut off stays ready where keys are honoured', async () => {
-  await startPlaces({honoursStaleKeys: true});
-  cutOff();
+  await startHostPerPlace({honoursStaleKeys: true});
+  isolateFirstHost();
   await new Promise(resolve => setTimeout(resolve, 4_000));
   assert.equal(await fixture.readiness(), 200);
 });
 
 void test('hosts stay ready while the store is away and other places answer', async () => {
-  await startPlaces();
+  await startHostPerPlace();
   ownStore.isDown = true;
   fixture.store.isDown = true;
   await new Promise(resolve => setTimeout(resolve, 2_000));
--- a/packages/gateway/src/lifecycle/standstill_watch.test.ts
+++ b/packages/gateway/src/lifecycle/stall_detector.test.ts
@@ -2,21 +2,21 @@
 import {test} from 'node:test';
 import {VirtualClock} from '@bayspool/kernel';
 import {EventLog} from '../observability/event_log.js';
-import {StandstillWatch} from './standstill_watch.js';
+import {StallDetector} from './stall_detector.js';
 
 /** Time in which a process does what it has to do, in ms. */
-const USUAL_MS = 1_000;
+const NORMAL_WORK_MS = 1_000;
 /** Time for which what waited may go on to be read, in ms. */
 const BACKLOG_MS = 2_000;
 
 /** A watch whose process can stand still: time goes on, and no timer fires before it goes on. */
-function createProcess() {
+function createStallableProcess() {
   const clock = new VirtualClock();
   let standstillMs = 0;
   let changedAt: number | undefined;
   const lines: string[] = [];
   const now = () => clock.now() + standstillMs;
-  const watch = new StandstillWatch({
+  const watch = new StallDetector({
     clock: {
       now,
       wall: () => clock.wall(),
@@ -27,14 +27,14 @@
       host: 'host-1',
       sink: {write: line => void lines.push(line)},
     }),
-    changedAt: () => changedAt,
+    configurationChangedAt: () => changedAt,
   });
   const adopt = () => {
     changedAt = now();
   };
   watch.start();
   adopt();
-  clock.advance(USUAL_MS);
+  clock.advance(NORMAL_WORK_MS);
   return {
     watch,
     clock,
@@ -47,33 +47,33 @@
 }
 
 void test('a configuration that comes while all goes on is no reason to doubt', () => {
-  const {watch, clock, adopt, lines} = createProcess();
+  const {watch, clock, adopt, lines} = createStallableProcess();
   adopt();
   assert.ok(!watch.mayPredateConfiguration());
-  clock.advance(USUAL_MS);
+  clock.advance(NORMAL_WORK_MS);
   assert.ok(!watch.mayPredateConfiguration());
   assert.deepEqual(lines, []);
 });
 
 void test('behind a standstill a request may be older than a configuration that was not known before', () => {
-  const {watch, adopt, standStill} = createProcess();
+  const {watch, adopt, standStill} = createStallableProcess();
   standStill(2_000);
   adopt();
   assert.ok(watch.mayPredateConfiguration());
 });
 
 void test('it is doubted for as long as what waited may go on to be read, and no longer', () => {
-  const {watch, clock, adopt, standStill} = createProcess();
+  const {watch, clock, adopt, standStill} = createStallableProcess();
   standStill(5_000);
-  clock.advance(BACKLOG_MS - USUAL_MS);
+  clock.advance(BACKLOG_MS - NORMAL_WORK_MS);
   adopt();
   assert.ok(watch.mayPredateConfiguration());
-  clock.advance(USUAL_MS + 100);
+  clock.advance(NORMAL_WORK_MS + 100);
   assert.ok(!watch.mayPredateConfiguration());
 });
 
 void test('a host that is always behind doubts each configuration for a bounded time', () => {
-  const {watch, clock, adopt, standStill} = createProcess();
+  const {watch, clock, adopt, standStill} = createStallableProcess();
   const fallBehind = (times: number) => {
     for (let i = 0; i < times; i++) {
       standStill(400);
@@ -89,7 +89,7 @@
 });
 
 void test('a standstill over which the configuration stayed what it was raises no doubt', () => {
-  const {watch, clock, standStill, lines} = createProcess();
+  const {watch, clock, standStill, lines} = createStallableProcess();
   standStill(9_000);
   assert.ok(!watch.mayPredateConfiguration());
   clock.advance(100);
--- a/packages/gateway/src/lifecycle/standstill_watch.ts
+++ b/packages/gateway/src/lifecycle/stall_detector.ts
@@ -6,48 +6,48 @@
   readonly clock: Clock;
   readonly log: EventLog;
   /** When the configuration in force replaced another one, on that clock; undefined if it is the first. */
-  readonly changedAt: () => number | undefined;
+  readonly configurationChangedAt: () => number | undefined;
 }
 
 /** A time in which the process did nothing else, on the clock of the watch. */
-interface Standstill {
+interface Stall {
   readonly fromAt: number;
   readonly untilAt: number;
 }
 
 /** Pause between two looks, in ms. */
-const PAUSE_MS = 100;
+const CHECK_INTERVAL_MS = 100;
 /** How late a look counts as a standstill, in ms: over what other work of this process takes. */
-const MIN_LATE_MS = 200;
+const STALL_THRESHOLD_MS = 200;
 /** Time after a standstill in which what waited is read, in ms: new connections may be tried again for a second. */
-const BACKLOG_MS = 2_000;
+const BACKLOG_DRAIN_MS = 2_000;
 
 /**
  * Notices when this process stood still. What it reads then may have waited all the while, so it may have been sent under a
  * configuration that this host has never heard of.
  */
-export class StandstillWatch {
-  private lookedAt: number;
+export class StallDetector {
+  private lastCheckAt: number;
   /** Those whose backlog may not be read yet. */
-  private standstills: Standstill[] = [];
+  private recentStalls: Stall[] = [];
   private timer: Timer | undefined;
 
   constructor(private readonly options: Options) {
-    this.lookedAt = options.clock.now();
+    this.lastCheckAt = options.clock.now();
   }
 
   /** Whether a request that is read now may have been sent before the configuration in force was. */
   mayPredateConfiguration(): boolean {
-    this.look();
-    const changedAt = this.options.changedAt();
+    this.check();
+    const changedAt = this.options.configurationChangedAt();
     if (changedAt === undefined) return false;
-    return this.standstills.some(({fromAt}) => changedAt >= fromAt);
+    return this.recentStalls.some(({fromAt}) => changedAt >= fromAt);
   }
 
   /** Looks from now on. */
   start(): void {
-    this.lookedAt = this.options.clock.now();
-    this.lookAgain();
+    this.lastCheckAt = this.options.clock.now();
+    this.scheduleCheck();
   }
 
   /** Looks no more. */
@@ -55,29 +55,29 @@
     this.timer?.cancel();
   }
 
-  private lookAgain(): void {
-    this.timer = this.options.clock.after(PAUSE_MS, () => {
-      this.look();
-      this.lookAgain();
+  private scheduleCheck(): void {
+    this.timer = this.options.clock.after(CHECK_INTERVAL_MS, () => {
+      this.check();
+      this.scheduleCheck();
     });
   }
 
-  private look(): void {
+  private check(): void {
     const {clock, log} = this.options;
     const now = clock.now();
-    const fromAt = this.lookedAt;
-    const forMs = now - fromAt - PAUSE_MS;
-    this.lookedAt = now;
+    const fromAt = this.lastCheckAt;
+    const forMs = now - fromAt - CHECK_INTERVAL_MS;
+    this.lastCheckAt = now;
     // Asked for with each request with a key; mostly there is none.
-    if (this.standstills.length > 0) this.forget(now);
-    if (forMs < MIN_LATE_MS) return;
-    this.standstills.push({fromAt, untilAt: now});
+    if (this.recentStalls.length > 0) this.removeExpired(now);
+    if (forMs < STALL_THRESHOLD_MS) return;
+    this.recentStalls.push({fromAt, untilAt: now});
     log.write('stood_still', {forMs: Math.round(forMs)});
   }
 
-  private forget(now: number): void {
-    this.standstills = this.standstills.filter(
-      ({untilAt}) => now - untilAt < BACKLOG_MS,
+  private removeExpired(now: number): void {
+    this.recentStalls = this.recentStalls.filter(
+      ({untilAt}) => now - untilAt < BACKLOG_DRAIN_MS,
     );
   }
 }
--- a/packages/gateway/src/parts/count_runners.ts
+++ b/packages/gateway/src/observability/count_runners.ts
@@ -1,4 +1,4 @@
-import type {MetricSample} from '../observability/metric_sample.js';
+import type {MetricSample} from './metric_sample.js';
 import type {Runner} from '../runners/runner.js';
 
 /** How many runners of each service are in each state: the first that holds counts. */
@@ -6,7 +6,7 @@
   const counts = new Map<string, {service: string; state: string; n: number}>();
   for (const runner of runners) {
     const {service} = runner.entry;
-    const state = stateOf(runner);
+    const state = getState(runner);
     const key = `${service}/${state}`;
     const count = counts.get(key) ?? {service, state, n: 0};
     count.n += 1;
@@ -18,7 +18,7 @@
   }));
 }
 
-function stateOf(runner: Runner): string {
+function getState(runner: Runner): string {
   if (runner.isReplaced) return 'replaced';
   if (runner.entry.isDraining) return 'leaving';
   if (runner.health.isEjected) return 'ejected';
--- a/packages/gateway/src/observability/loop_lag.ts
+++ b/packages/gateway/src/observability/event_loop_lag.ts
@@ -5,12 +5,12 @@
 }
 
 /** Pause between two measurements, in ms. */
-const PAUSE_MS = 1_000;
+const MEASURE_INTERVAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
 /** How late timers fire because the loop is busy, or the process stood still. */
-export class LoopLag {
-  private worstMs = 0;
+export class EventLoopLag {
+  private maxLagMs = 0;
   private timer: Timer | undefined;
 
   constructor(private readonly options: Options) {}
@@ -18,9 +18,9 @@
   /** Measures from now on. */
   start(): void {
     const {clock} = this.options;
-    const dueAt = clock.now() + PAUSE_MS;
-    this.timer = clock.after(PAUSE_MS, () => {
-      this.worstMs = Math.max(this.worstMs, clock.now() - dueAt);
+    const dueAt = clock.now() + MEASURE_INTERVAL_MS;
+    this.timer = clock.after(MEASURE_INTERVAL_MS, () => {
+      this.maxLagMs = Math.max(this.maxLagMs, clock.now() - dueAt);
       this.start();
     });
   }
@@ -31,9 +31,9 @@
   }
 
   /** The worst lag since it was last asked for, in seconds. */
-  takeWorstSeconds(): number {
-    const seconds = this.worstMs / MS_PER_SECOND;
-    this.worstMs = 0;
+  takeMaxSeconds(): number {
+    const seconds = this.maxLagMs / MS_PER_SECOND;
+    this.maxLagMs = 0;
     return seconds;
   }
 }
--- a/packages/gateway/src/observability/events.test.ts
+++ b/packages/gateway/src/observability/events.test.ts
@@ -108,7 +108,7 @@
   await expectEvents('key_withdrawn', 'runner_leaving');
   fixture.store.put(Topic.RUNNERS, 'one');
   await expectEvents('runner_gone');
-  fixture.hosts[1].gateway.halt();
+  fixture.hosts[1].gateway.stopImmediately();
   fixture.store.isDown = true;
   await expectEvents('store_lost', 'freshness_lost', 'peer_lost');
   fixture.store.isDown = false;
@@ -136,7 +136,7 @@
   const changed = {...settings, retryExtra: 3, seeds: [...settings.seeds]};
   gateway.applySettings(changed, 'test');
   assert.equal(fixture.events('settings_reloaded')[0].changed, 'retryExtra');
-  await gateway.leave('test');
+  await gateway.shutDown('test');
   await expectEvents('process_stopping', 'process_stopped');
 });
 
--- a/packages/gateway/src/observability/gateway_metrics.ts
+++ b/packages/gateway/src/observability/gateway_metrics.ts
@@ -2,7 +2,7 @@
 import type {MetricSample} from './metric_sample.js';
 
 /** Upper bounds of latencies, in seconds. */
-const SECONDS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 4, 8, 16];
+const LATENCY_BUCKETS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 4, 8, 16];
 
 /** Counters and histograms of the gateway; label values are a bounded set. */
 export class GatewayMetrics {
@@ -18,7 +18,7 @@
     'service',
     'outcome',
   ]);
-  readonly repeats = this.counter(
+  readonly retries = this.counter(
     'repeats_total',
     'Attempts beyond the first of a request',
     ['service', 'reason'],
@@ -33,12 +33,12 @@
     'Choices of a runner, by what decided on its version',
     ['service', 'reason', 'isGranted'],
   );
-  readonly weighedAnswers = this.counter(
+  readonly evaluatedResponses = this.counter(
     'weighed_answers_total',
     'Answers of small models, and whether they were used',
     ['route', 'isUsed'],
   );
-  readonly connections = this.counter(
+  readonly openedConnections = this.counter(
     'runner_connections_total',
     'Connections opened to runners',
     ['service'],
@@ -58,7 +58,7 @@
     'Time that the steady clock left out, or by which the time of day was set ahead',
     [],
   );
-  readonly storeSeconds = this.histogram(
+  readonly storeCallSeconds = this.histogram(
     'store_call_seconds',
     'Time to the answer of the store, the wait for a record included',
     'call',
@@ -68,17 +68,17 @@
     'Calls to other hosts',
     ['outcome'],
   );
-  readonly firstSeconds = this.histogram(
+  readonly firstByteSeconds = this.histogram(
     'first_byte_seconds',
     'Time to the first event or the whole answer',
   );
-  readonly totalSeconds = this.histogram(
+  readonly requestSeconds = this.histogram(
     'request_seconds',
     'Time to the end of the answer',
   );
 
   /** A gauge that is read when the metrics are fetched. */
-  observe(name: string, help: string, read: () => number): void {
+  registerGauge(name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({
       name: `bayspool_${name}`,
       help,
@@ -88,7 +88,7 @@
   }
 
   /** A gauge of several series that are read when the metrics are fetched; series that end are dropped. */
-  observeEach(
+  registerLabeledGauge(
     name: string,
     help: string,
     labelNames: readonly string[],
@@ -120,7 +120,7 @@
       name: `bayspool_${name}`,
       help,
       labelNames: [label],
-      buckets: SECONDS,
+      buckets: LATENCY_BUCKETS,
       registers: [this.registry],
     });
   }
--- a/packages/gateway/src/observability/observability.test.ts
+++ b/packages/gateway/src/observability/observability.test.ts
@@ -13,7 +13,7 @@
   const clock = new VirtualClock();
   const lines: string[] = [];
   const sink = {write: (line: string) => void lines.push(line)};
-  const log = new EventLog({clock, host: 'h', sink, detailPerSecond: 10});
+  const log = new EventLog({clock, host: 'h', sink, maxSampledPerSecond: 10});
   for (let i = 0; i < 50; i++) {
     log.write('caller_left', {
       request: `${i}`,
@@ -54,7 +54,7 @@
     if (i % 100 === 0) await new Promise(resolve => setImmediate(resolve));
   }
   assert.ok(performance.now() - startedAt < 1_000);
-  assert.ok(writer.dropped > 1_000, `${writer.dropped} dropped`);
+  assert.ok(writer.droppedLines > 1_000, `${writer.droppedLines} dropped`);
   writer.stop();
 });
 
--- a/packages/gateway/src/parts/observe_parts.ts
+++ b/packages/gateway/src/observability/register_gauges.ts
@@ -1,111 +1,111 @@
 import type {Quarantine} from '@bayspool/decisions/calls';
-import type {ConfigurationBelief} from '../beliefs/configuration_belief.js';
-import type {Cordons} from '../beliefs/cordons.js';
-import type {RunnerDirectory} from '../beliefs/runner_directory.js';
+import type {ActiveConfiguration} from '../discovery/active_configuration.js';
+import type {CordonRegistry} from '../discovery/cordon_registry.js';
+import type {RunnerDirectory} from '../discovery/runner_directory.js';
 import type {CallServer} from '../calls/call_server.js';
-import type {EventLog} from '../observability/event_log.js';
-import type {GatewayMetrics} from '../observability/gateway_metrics.js';
-import type {LoopLag} from '../observability/loop_lag.js';
+import type {EventLog} from './event_log.js';
+import type {GatewayMetrics} from './gateway_metrics.js';
+import type {EventLoopLag} from './event_loop_lag.js';
 import type {PeerSynchronizer} from '../peers/peer_synchronizer.js';
 import type {HostDirectory} from '../peers/host_directory.js';
 import type {RolloutRegistry} from '../rollouts/rollout_registry.js';
 import {countRunners} from './count_runners.js';
-import type {ServiceLimits} from './service_limits.js';
-import {tellEvidence} from './tell_evidence.js';
-import {tellLimit} from './tell_limit.js';
-import {tellSent} from './tell_sent.js';
+import type {ServiceLimits} from '../host/service_limits.js';
+import {sampleRolloutOutcomes} from './sample_rollout_outcomes.js';
+import {sampleDeclaredLimit} from './sample_declared_limit.js';
+import {sampleRolloutAttempts} from './sample_rollout_attempts.js';
 
 interface Options {
   readonly metrics: GatewayMetrics;
   readonly log: EventLog;
-  readonly lag: LoopLag;
-  readonly belief: ConfigurationBelief;
-  readonly cordons: Cordons;
+  readonly eventLoopLag: EventLoopLag;
+  readonly configuration: ActiveConfiguration;
+  readonly cordons: CordonRegistry;
   readonly directory: RunnerDirectory;
-  readonly door: CallServer;
-  readonly news: PeerSynchronizer;
-  readonly roster: HostDirectory;
-  readonly limits: ServiceLimits;
+  readonly callServer: CallServer;
+  readonly peerSynchronizer: PeerSynchronizer;
+  readonly hostDirectory: HostDirectory;
+  readonly serviceLimits: ServiceLimits;
   readonly rollouts: RolloutRegistry;
   readonly quarantine: Quarantine;
 }
 
 /** Registers the figures that are read from a host's parts when the metrics are asked for. */
-export function observeParts(options: Options): void {
-  observeProcess(options);
-  observeBeliefs(options);
-  observeRunners(options);
-  observeRollouts(options);
+export function registerGauges(options: Options): void {
+  registerProcessGauges(options);
+  registerDiscoveryGauges(options);
+  registerRunnerGauges(options);
+  registerRolloutGauges(options);
 }
 
-function observeProcess({metrics, log, lag, door}: Options): void {
-  metrics.observe(
+function registerProcessGauges({metrics, log, eventLoopLag: lag, callServer: door}: Options): void {
+  metrics.registerGauge(
     'open_requests',
     'Requests not answered yet',
     () => door.openCalls,
   );
-  metrics.observe('resident_bytes', 'Memory of the process', () =>
+  metrics.registerGauge('resident_bytes', 'Memory of the process', () =>
     process.memoryUsage.rss(),
   );
-  metrics.observe(
+  metrics.registerGauge(
     'loop_lag_seconds',
     'Worst lag of a timer since the metrics were last fetched',
-    () => lag.takeWorstSeconds(),
+    () => lag.takeMaxSeconds(),
   );
-  metrics.observe(
+  metrics.registerGauge(
     'log_lines_dropped',
     'Log lines left out since the start',
     () => log.droppedLines,
   );
 }
 
-function observeBeliefs(options: Options): void {
-  const {metrics, belief, cordons, roster, news} = options;
-  metrics.observe(
+function registerDiscoveryGauges(options: Options): void {
+  const {metrics, configuration: belief, cordons, hostDirectory: roster, peerSynchronizer: news} = options;
+  metrics.registerGauge(
     'configuration_version',
     'Configuration in force',
     () => belief.current?.version ?? 0,
   );
-  metrics.observe(
+  metrics.registerGauge(
     'configuration_age_seconds',
     'Time since it was known to be the newest',
     () => belief.ageMs / 1000,
   );
-  metrics.observe(
+  metrics.registerGauge(
     'cordoned_places',
     'Places whose runners get no new calls, by order',
-    () => cordons.places().length,
+    () => cordons.listPlaces().length,
   );
-  metrics.observe(
+  metrics.registerGauge(
     'hosts',
     'Hosts known to live',
     () => roster.listLive().length,
   );
-  metrics.observe('reads_store', 'Whether this host reads the store', () =>
+  metrics.registerGauge('reads_store', 'Whether this host reads the store', () =>
     Number(news.readsStore),
   );
 }
 
-function observeRunners(options: Options): void {
-  const {metrics, directory, limits, quarantine} = options;
-  metrics.observe(
+function registerRunnerGauges(options: Options): void {
+  const {metrics, directory, serviceLimits: limits, quarantine} = options;
+  metrics.registerGauge(
     'quarantined_requests',
     'Requests that are held back, as runners ended under them',
     () => quarantine.quarantinedFingerprints().length,
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'runners',
     'Runners known, by what holds of them first',
     ['service', 'state'],
     () => countRunners(directory.all()),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'runner_limit',
     'Requests a second that a runner takes from all hosts together, where it names a limit',
     ['service', 'runner'],
-    () => directory.all().flatMap(tellLimit),
+    () => directory.all().flatMap(sampleDeclaredLimit),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'runner_pending_seconds',
     'Reading of prompts that this host waits for at runners',
     ['service'],
@@ -115,42 +115,42 @@
         value: ownLoad.pendingMs / 1000,
       })),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'retry_budget',
     'Repeats that this host may still send now',
     ['service'],
-    () => limits.budgetsLeft(),
+    () => limits.sampleRetryBudgets(),
   );
 }
 
-function observeRollouts({metrics, rollouts}: Options): void {
+function registerRolloutGauges({metrics, rollouts}: Options): void {
   const readShares = (hasSession: boolean) => () =>
     rollouts.all().map(rollout => ({
       labels: {service: rollout.order.service, phase: rollout.phase},
       value: rollout.shareOf({hasSession}),
     }));
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'rollout_share',
     'Share of the calls without a session that the new version gets now',
     ['service', 'phase'],
     readShares(false),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'rollout_session_share',
     'Share of sessions that the new version gets now',
     ['service', 'phase'],
     readShares(true),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'rollout_sent',
     'Attempts that all hosts made at the versions of a roll-out',
     ['service', 'version'],
-    () => rollouts.all().flatMap(tellSent),
+    () => rollouts.all().flatMap(sampleRolloutAttempts),
   );
-  metrics.observeEach(
+  metrics.registerLabeledGauge(
     'rollout_answers',
     'What all hosts saw of the versions of a roll-out',
     ['service', 'version', 'result'],
-    () => rollouts.all().flatMap(tellEvidence),
+    () => rollouts.all().flatMap(sampleRolloutOutcomes),
   );
 }
--- a/packages/gateway/src/parts/tell_limit.ts
+++ b/packages/gateway/src/observability/sample_declared_limit.ts
@@ -1,8 +1,8 @@
-import type {MetricSample} from '../observability/metric_sample.js';
+import type {MetricSample} from './metric_sample.js';
 import type {Runner} from '../runners/runner.js';
 
 /** What a runner says it takes, as a metric; nothing where it names no limit. */
-export function tellLimit({entry, limit}: Runner): MetricSample[] {
+export function sampleDeclaredLimit({entry, limit}: Runner): MetricSample[] {
   if (limit.perSecond === undefined) return [];
   const {id: runner, service} = entry;
   return [{labels: {service, runner}, value: limit.perSecond}];
--- a/packages/gateway/src/parts/tell_sent.ts
+++ b/packages/gateway/src/observability/sample_rollout_attempts.ts
@@ -1,8 +1,8 @@
-import type {MetricSample} from '../observability/metric_sample.js';
+import type {MetricSample} from './metric_sample.js';
 import type {Rollout} from '../rollouts/rollout.js';
 
 /** Attempts that all hosts made at the versions of a roll-out, as series of a metric. */
-export function tellSent({order, sent}: Rollout): MetricSample[] {
+export function sampleRolloutAttempts({order, sent}: Rollout): MetricSample[] {
   const {service} = order;
   return [
     {labels: {service, version: 'new'}, value: sent.fresh},
--- a/packages/gateway/src/parts/tell_evidence.ts
+++ b/packages/gateway/src/observability/sample_rollout_outcomes.ts
@@ -1,8 +1,8 @@
-import type {MetricSample} from '../observability/metric_sample.js';
+import type {MetricSample} from './metric_sample.js';
 import type {Rollout} from '../rollouts/rollout.js';
 
 /** What all hosts saw of the two versions of a roll-out, as series of a metric. */
-export function tellEvidence(rollout: Rollout): MetricSample[] {
+export function sampleRolloutOutcomes(rollout: Rollout): MetricSample[] {
   const {service} = rollout.order;
   const {fresh, old} = rollout.tallies;
   return Object.entries({new: fresh, old}).flatMap(([version, tally]) =>
--- a/packages/gateway/src/peers/host_directory.test.ts
+++ b/packages/gateway/src/peers/host_directory.test.ts
@@ -26,7 +26,7 @@
     clock,
     log,
     mirror,
-    refusals,
+    refusedEntries: refusals,
     self: host('a1', 'a'),
   });
   const others = [host('a2', 'a'), host('b1', 'b'), host('b2', 'b')];
--- a/packages/gateway/src/peers/host_directory.ts
+++ b/packages/gateway/src/peers/host_directory.ts
@@ -2,8 +2,8 @@
 import type {Clock} from '@bayspool/kernel';
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
-import {readEntry} from '../records/read_entry.js';
-import type {Refusals} from '../records/refusals.js';
+import {decodeEntry} from '../records/decode_entry.js';
+import type {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
 import type {HostEntry} from './host_entry.js';
 import {hostEntryCodec} from './host_entry_codec.js';
@@ -14,7 +14,7 @@
   readonly log: EventLog;
   readonly mirror: TopicMirror;
   readonly self: HostEntry;
-  readonly refusals: Refusals;
+  readonly refusedEntries: RefusedEntryReporter;
 }
 
 /** How long a host that did not respond is skipped as a reader, in ms. */
@@ -250,7 +250,7 @@
   }
 
   private applyRecord(record: KeyedRecord): void {
-    const {log, mirror, refusals, self} = this.options;
+    const {log, mirror, refusedEntries: refusals, self} = this.options;
     const name = record.key.slice(hostKey.forName('').length);
     if (name === self.name) return;
     if (record.value === undefined) {
@@ -259,10 +259,10 @@
       return;
     }
     try {
-      this.addHost(readEntry(hostEntryCodec, record));
+      this.addHost(decodeEntry(hostEntryCodec, record));
     } catch (error) {
       // A known host is kept: whether it responds does not depend on an entry that another program has overwritten.
-      refusals.note(mirror.topic, record, error);
+      refusals.report(mirror.topic, record, error);
     }
   }
 
--- a/packages/gateway/src/peers/host_entry_codec.ts
+++ b/packages/gateway/src/peers/host_entry_codec.ts
@@ -2,7 +2,7 @@
 import {fieldCodecs} from '../records/field_codecs.js';
 import type {HostEntry} from './host_entry.js';
 
-const {name, address, amount} = fieldCodecs;
+const {name, address, nonNegative: amount} = fieldCodecs;
 
 /** Codec of host entries in the store. */
 export const hostEntryCodec: Codec<HostEntry> = Codec.interface({
--- a/packages/gateway/src/peers/merge_load_digests.ts
+++ b/packages/gateway/src/peers/merge_load_digests.ts
@@ -1,4 +1,4 @@
-import {mergeQuarantineNews} from '../quarantine/merge_quarantine_news.js';
+import {mergeQuarantineDigests} from '../quarantine/merge_quarantine_digests.js';
 import {mergeRolloutDigests} from '../rollouts/merge_rollout_digests.js';
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
 import type {LoadDigest} from './load_digest.js';
@@ -28,7 +28,7 @@
     }
   }
   const parts = mergePromptParts(digests.map(digest => digest.parts ?? {}));
-  const quarantine = mergeQuarantineNews(
+  const quarantine = mergeQuarantineDigests(
     digests.map(digest => digest.quarantine),
   );
   return {runners, rollouts, parts, quarantine};
--- a/packages/gateway/src/peers/peer_client.ts
+++ b/packages/gateway/src/peers/peer_client.ts
@@ -1,7 +1,7 @@
 import {Agent} from 'node:http';
 import type {Clock} from '@bayspool/kernel';
 import {JSONRPCClient} from 'json-rpc-2.0';
-import {requestWhole} from '../http/request_whole.js';
+import {fetchResponse} from '../http/fetch_response.js';
 import type {SyncResponse} from './sync_response.js';
 import type {SyncRequest} from './sync_request.js';
 
@@ -29,7 +29,7 @@
   ): Promise<SyncResponse> {
     const {clock} = this.options;
     const rpc: JSONRPCClient = new JSONRPCClient(async payload => {
-      const {body} = await requestWhole({
+      const {body} = await fetchResponse({
         clock,
         agent: this.agent,
         address,
--- a/packages/gateway/src/peers/peer_synchronizer.test.ts
+++ b/packages/gateway/src/peers/peer_synchronizer.test.ts
@@ -60,7 +60,7 @@
   const advanceFresh = (ms: number) => {
     for (let left = ms; left > 0; left -= 500) {
       clock.advance(Math.min(left, 500));
-      freshnessMirror.prove(clock.now());
+      freshnessMirror.confirmFreshness(clock.now());
     }
   };
   return {clock, freshnessMirror, synchronizer, advanceFresh};
@@ -81,7 +81,7 @@
     waitsForSeeds: true,
   });
   clock.advance(FIRST_START_DELAY_MS - 1);
-  freshnessMirror.prove(clock.now());
+  freshnessMirror.confirmFreshness(clock.now());
   assert.equal(synchronizer.readsStore, false);
   clock.advance(1);
   assert.equal(synchronizer.readsStore, true);
@@ -95,7 +95,7 @@
     assert.equal(synchronizer.readsStore, false, 'not above the limit');
     clock.advance(1);
     assert.equal(synchronizer.readsStore, rank < 3);
-    freshnessMirror.prove(clock.now());
+    freshnessMirror.confirmFreshness(clock.now());
     assert.equal(
       synchronizer.readsStore,
       rank < 3,
--- a/packages/gateway/src/peers/peer_synchronizer.ts
+++ b/packages/gateway/src/peers/peer_synchronizer.ts
@@ -174,7 +174,7 @@
 
   private get ageMs(): number {
     const {clock, freshnessMirror} = this.options;
-    return clock.now() - freshnessMirror.provenAt;
+    return clock.now() - freshnessMirror.freshAsOf;
   }
 
   private async pollPlaceReader(): Promise<void> {
--- a/packages/gateway/src/peers/seed_bootstrap.test.ts
+++ b/packages/gateway/src/peers/seed_bootstrap.test.ts
@@ -65,7 +65,7 @@
   );
   await fixture.waitFor(() => isRegistered('again'));
   const {peerPort} = fixture.hosts[1].settings;
-  fixture.hosts[1].gateway.halt();
+  fixture.hosts[1].gateway.stopImmediately();
   const before = {...fixture.store.calls};
   await fixture.startHost({host: 'again', peerPort, seeds: seeds()});
   await fixture.waitReady(2);
--- a/packages/gateway/src/peers/sync_protocol.test.ts
+++ b/packages/gateway/src/peers/sync_protocol.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {beforeEach, test} from 'node:test';
 import {VirtualClock} from '@bayspool/kernel';
-import type {HostLimits} from '../parts/host_limits.js';
+import type {DeclaredLimitExchange} from '../host/declared_limit_exchange.js';
 import {EventLog} from '../observability/event_log.js';
 import {StoreHealth} from '../records/store_health.js';
 import {Topic} from '../records/topic.js';
@@ -24,16 +24,16 @@
   const log = new EventLog({clock, host: name, sink: {write: () => undefined}});
   const refusals = unheardRefusals();
   const self = host(name, 'a');
-  const hostDirectory = new HostDirectory({clock, log, mirror, refusals, self});
+  const hostDirectory = new HostDirectory({clock, log, mirror, refusedEntries: refusals, self});
   const loadDigests = new LoadDigestRegistry({
     clock,
     place: 'a',
     createOwnDigest: () => digest,
   });
-  const limits = {isUrgentFor, take: () => undefined, news: () => []};
+  const limits = {isUrgentFor, applyPeerObservations: () => undefined, listObservations: () => []};
   const protocol = new SyncProtocol({
     clock,
-    limits: limits as unknown as HostLimits,
+    limits: limits as unknown as DeclaredLimitExchange,
     storeHealth: new StoreHealth({clock, log}),
     loadDigests,
     hostDirectory,
@@ -98,7 +98,7 @@
   void poll();
   for (let i = 0; i < 40; i++) {
     await clock.advanceSettled(100);
-    reader.mirror.prove(clock.now());
+    reader.mirror.confirmFreshness(clock.now());
   }
   assert.ok(responses >= 8 && responses <= 13, `${responses} responses in 4 s`);
   const before = responses;
--- a/packages/gateway/src/peers/sync_protocol.ts
+++ b/packages/gateway/src/peers/sync_protocol.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@bayspool/kernel';
-import type {HostLimits} from '../parts/host_limits.js';
+import type {DeclaredLimitExchange} from '../host/declared_limit_exchange.js';
 import type {Topic} from '../records/topic.js';
 import type {StoreHealth} from '../records/store_health.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
@@ -15,7 +15,7 @@
   /** The mirror whose freshness peers need to learn of promptly. */
   readonly freshnessMirror: TopicMirror;
   readonly loadDigests: LoadDigestRegistry;
-  readonly limits: HostLimits;
+  readonly limits: DeclaredLimitExchange;
   readonly hostDirectory: HostDirectory;
   /** Whether the store responds to this host. */
   readonly storeHealth: StoreHealth;
@@ -45,7 +45,7 @@
   constructor(private readonly options: Options) {
     for (const mirror of options.mirrors)
       mirror.onUpdate(() => this.completeLongPolls());
-    options.freshnessMirror.onProof(() => this.publishProof());
+    options.freshnessMirror.onFreshnessConfirmed(() => this.publishProof());
     options.hostDirectory.onPlaceLost(() => this.completeLongPolls());
   }
 
@@ -55,7 +55,7 @@
     const {self} = hostDirectory;
     const {from, digest} = request;
     hostDirectory.recordRequest(from);
-    limits.take(request.limits ?? [], 0);
+    limits.applyPeerObservations(request.limits ?? [], 0);
     if (from.place === self.place) loadDigests.recordHost(from.name, digest);
     if (request.waitMs > 0 && !this.hasChanges(request))
       await this.waitForChanges(request.waitMs);
@@ -64,7 +64,7 @@
       place: self.place,
       isLoading: this.isLoading || undefined,
       loads: loadDigests.sumFor(from.place),
-      limits: limits.news(),
+      limits: limits.listObservations(),
       lostPlaces:
         from.place === self.place
           ? [...hostDirectory.findObservedLostPlaces()]
@@ -88,7 +88,7 @@
         loaded.map(({topic, next}) => [topic, next]),
       ),
       digest: isSamePlace ? loadDigests.reportOwnDigest() : EMPTY_DIGEST,
-      limits: limits.news(),
+      limits: limits.listObservations(),
       waitMs,
     };
   }
@@ -110,7 +110,7 @@
   /** Applies the declared limits of a response. */
   applyLimits({limits = []}: SyncResponse, sentAt: number): void {
     const sinceMs = this.options.clock.now() - sentAt;
-    this.options.limits.take(limits, sinceMs);
+    this.options.limits.applyPeerObservations(limits, sinceMs);
   }
 
   /** Completes the long polls after a runner's declared limit has changed urgently. */
@@ -141,7 +141,7 @@
 
   private get isLoading(): boolean {
     const {mirrors, storeHealth} = this.options;
-    return !storeHealth.isLost && mirrors.some(mirror => !mirror.isLoaded);
+    return !storeHealth.isUnavailable && mirrors.some(mirror => !mirror.isLoaded);
   }
 
   private collectTopics(request: SyncRequest): SyncResponse['topics'] {
@@ -151,9 +151,9 @@
       loaded.map(mirror => [
         mirror.topic,
         {
-          ...mirror.newsSince(request.positions[mirror.topic] ?? 0),
+          ...mirror.changesSince(request.positions[mirror.topic] ?? 0),
           next: mirror.next,
-          ageMs: Math.max(0, Math.round(clock.now() - mirror.provenAt)),
+          ageMs: Math.max(0, Math.round(clock.now() - mirror.freshAsOf)),
         },
       ]),
     );
--- a/packages/gateway/src/peers/sync_response.ts
+++ b/packages/gateway/src/peers/sync_response.ts
@@ -1,10 +1,10 @@
 import type {Topic} from '../records/topic.js';
-import type {TopicNews} from '../records/topic_news.js';
+import type {TopicDelta} from '../records/topic_delta.js';
 import type {LimitObservation} from '../runners/limit_observation.js';
 import type {LoadDigest} from './load_digest.js';
 
 /** The changes of a topic that the requesting host lacks. */
-interface SyncedTopic extends TopicNews {
+interface SyncedTopic extends TopicDelta {
   readonly next: number;
   /** Time since the responding host's mirror was last known to be complete, in ms; absent if it never was. */
   readonly ageMs?: number;
--- a/packages/gateway/src/quarantine/merge_quarantine_news.ts
+++ b/packages/gateway/src/quarantine/merge_quarantine_digests.ts
@@ -1,10 +1,10 @@
 import type {QuarantineDigest, RunnerCrash} from '@bayspool/decisions/calls';
 
 /** Requests in what several hosts tell together, at most: 30 KB with three ends each, of what one host of a place answers another. */
-const MAX_REQUESTS = 256;
+const MAX_FINGERPRINTS = 256;
 
 /** What several hosts tell of requests under which runners ended: ends are sets, so it counts each of them once. */
-export function mergeQuarantineNews(
+export function mergeQuarantineDigests(
   all: ReadonlyArray<QuarantineDigest | undefined>,
 ): QuarantineDigest | undefined {
   const told = all.filter(news => news !== undefined);
@@ -12,22 +12,22 @@
   const ends = new Map<string, Map<number, RunnerCrash>>();
   for (const news of told)
     for (const [fingerprint, list] of Object.entries(news.ends))
-      addAll(ends, fingerprint, list);
+      mergeCrashes(ends, fingerprint, list);
   const answered = new Set(told.flatMap(news => news.answered));
   return {
     ends: Object.fromEntries(
       [...ends].map(([fingerprint, list]) => [fingerprint, [...list.values()]]),
     ),
-    answered: [...answered].slice(0, MAX_REQUESTS),
+    answered: [...answered].slice(0, MAX_FINGERPRINTS),
   };
 }
 
-function addAll(
+function mergeCrashes(
   ends: Map<string, Map<number, RunnerCrash>>,
   fingerprint: string,
   list: readonly RunnerCrash[],
 ): void {
-  if (!ends.has(fingerprint) && ends.size >= MAX_REQUESTS) return;
+  if (!ends.has(fingerprint) && ends.size >= MAX_FINGERPRINTS) return;
   const known = ends.get(fingerprint) ?? new Map<number, RunnerCrash>();
   ends.set(fingerprint, known);
   for (const end of list) {
--- a/packages/gateway/src/quarantine/quarantine_key.ts
+++ b/packages/gateway/src/quarantine/quarantine_key.ts
@@ -1,9 +1,9 @@
 /** Start of the keys under which requests that are held back stand in the hosts' topic. */
-const PREFIX = 'quarantine/';
+const KEY_PREFIX = 'quarantine/';
 
 /** Keys of requests that are held back in the hosts' topic. */
 export const quarantineKey = {
-  of: (fingerprint: string) => PREFIX + fingerprint,
-  isOne: (key: string) => key.startsWith(PREFIX),
-  fingerprintOf: (key: string) => key.slice(PREFIX.length),
+  forFingerprint: (fingerprint: string) => KEY_PREFIX + fingerprint,
+  matches: (key: string) => key.startsWith(KEY_PREFIX),
+  fingerprintOf: (key: string) => key.slice(KEY_PREFIX.length),
 };
--- a/packages/gateway/src/quarantine/quarantine_record_codec.ts
+++ b/packages/gateway/src/quarantine/quarantine_record_codec.ts
@@ -7,7 +7,7 @@
   readonly ends: RunnerCrash[];
 }
 
-const {amount, share} = fieldCodecs;
+const {nonNegative: amount, fraction: share} = fieldCodecs;
 
 /** How a request that is held back stands in the store. */
 export const quarantineRecordCodec: Codec<QuarantineRecord> = Codec.interface({
--- a/packages/gateway/src/quarantine/quarantine_keeper.ts
+++ b/packages/gateway/src/quarantine/quarantine_synchronizer.ts
@@ -4,9 +4,9 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
 import type {MirrorUpdate} from '../records/mirror_update.js';
-import {readEntry} from '../records/read_entry.js';
+import {decodeEntry} from '../records/decode_entry.js';
 import type {RecordStore} from '../records/record_store.js';
-import type {Refusals} from '../records/refusals.js';
+import type {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import {Topic} from '../records/topic.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
 import {quarantineKey} from './quarantine_key.js';
@@ -18,68 +18,68 @@
   readonly store: RecordStore;
   /** The copy of the topic in which such requests stand. */
   readonly mirror: TopicMirror;
-  readonly refusals: Refusals;
+  readonly refusedEntries: RefusedEntryReporter;
   readonly quarantine: Quarantine;
   readonly host: string;
   /** Hosts that are taken to live, this one included. */
-  readonly hosts: () => readonly string[];
+  readonly listLiveHosts: () => readonly string[];
 }
 
 /** How long each next host waits for the one before it to write, in ms: a write, and the way back of its record. */
-const TURN_MS = 900;
+const WRITE_STAGGER_MS = 900;
 /** Pause after a failed write, in ms. */
-const RETRY_MS = 1_000;
+const RETRY_DELAY_MS = 1_000;
 
 /**
  * Keeps in the store which requests are held back, so that a host which starts knows of them when all that saw the ends
  * are gone. The hosts judge by what they tell each other; one of them writes, the others stand by.
  */
-export class QuarantineKeeper {
-  private readonly due = new Map<string, Timer>();
+export class QuarantineSynchronizer {
+  private readonly pendingWrites = new Map<string, Timer>();
   private isStopped = false;
 
   constructor(private readonly options: Options) {
     const {mirror, quarantine} = options;
-    mirror.onUpdate(update => this.take(update));
+    mirror.onUpdate(update => this.applyUpdate(update));
     quarantine.onChange({
-      onQuarantined: (fingerprint, ends) => this.noteHeld(fingerprint, ends),
+      onQuarantined: (fingerprint, ends) => this.recordQuarantined(fingerprint, ends),
       onReleased: (fingerprint, reason) =>
-        this.noteReleased(fingerprint, reason),
+        this.recordReleased(fingerprint, reason),
     });
   }
 
   /** Writes no more. */
   stop(): void {
     this.isStopped = true;
-    for (const timer of this.due.values()) timer.cancel();
+    for (const timer of this.pendingWrites.values()) timer.cancel();
   }
 
-  private take({changed, isReload}: MirrorUpdate): void {
+  private applyUpdate({changed, isReload}: MirrorUpdate): void {
     for (const record of changed) {
-      if (!quarantineKey.isOne(record.key)) continue;
-      if (record.value !== undefined) this.takeRecord(record);
+      if (!quarantineKey.matches(record.key)) continue;
+      if (record.value !== undefined) this.applyRecord(record);
       // What a copy that is loaded anew lacks may only have been left out of its pages.
-      else if (!isReload) this.takeRemoval(record);
+      else if (!isReload) this.applyRemoval(record);
     }
   }
 
-  private takeRecord(record: KeyedRecord): void {
-    const {quarantine, refusals, mirror} = this.options;
+  private applyRecord(record: KeyedRecord): void {
+    const {quarantine, refusedEntries: refusals, mirror} = this.options;
     try {
-      const {ends} = readEntry(quarantineRecordCodec, record);
+      const {ends} = decodeEntry(quarantineRecordCodec, record);
       quarantine.restoreRecord(quarantineKey.fingerprintOf(record.key), ends);
     } catch (error) {
       // The request is not held back for it; the hosts that saw the ends do so by themselves.
-      refusals.note(mirror.topic, record, error);
+      refusals.report(mirror.topic, record, error);
     }
   }
 
-  private takeRemoval({key}: KeyedRecord): void {
+  private applyRemoval({key}: KeyedRecord): void {
     const {quarantine} = this.options;
     quarantine.release(quarantineKey.fingerprintOf(key), ReleaseReason.REMOVED);
   }
 
-  private noteHeld(fingerprint: string, ends: readonly RunnerCrash[]): void {
+  private recordQuarantined(fingerprint: string, ends: readonly RunnerCrash[]): void {
     const weight = ends.reduce((sum, end) => sum + end.weight, 0);
     this.options.log.write('request_quarantined', {
       fingerprint,
@@ -87,12 +87,12 @@
       weight: Math.round(weight * 10) / 10,
     });
     const value = JSON.stringify({ends});
-    this.writeInTurn(fingerprint, value);
+    this.scheduleStaggeredWrite(fingerprint, value);
   }
 
-  private noteReleased(fingerprint: string, reason: ReleaseReason): void {
+  private recordReleased(fingerprint: string, reason: ReleaseReason): void {
     this.options.log.write('request_released', {fingerprint, reason});
-    this.writeInTurn(fingerprint, undefined);
+    this.scheduleStaggeredWrite(fingerprint, undefined);
   }
 
   /**
@@ -100,24 +100,24 @@
    *
    * @param value absent to remove the request from the store
    */
-  private writeInTurn(fingerprint: string, value: string | undefined): void {
-    const {hosts, host} = this.options;
+  private scheduleStaggeredWrite(fingerprint: string, value: string | undefined): void {
+    const {listLiveHosts: hosts, host} = this.options;
     const turn = rankByHash(fingerprint, hosts()).indexOf(host);
-    this.schedule(fingerprint, value, turn * TURN_MS);
+    this.scheduleWrite(fingerprint, value, turn * WRITE_STAGGER_MS);
   }
 
-  private schedule(
+  private scheduleWrite(
     fingerprint: string,
     value: string | undefined,
     delayMs: number,
   ): void {
     if (this.isStopped) return;
-    this.due.get(fingerprint)?.cancel();
+    this.pendingWrites.get(fingerprint)?.cancel();
     const timer = this.options.clock.after(delayMs, () => {
-      this.due.delete(fingerprint);
+      this.pendingWrites.delete(fingerprint);
       void this.write(fingerprint, value);
     });
-    this.due.set(fingerprint, timer);
+    this.pendingWrites.set(fingerprint, timer);
   }
 
   private async write(
@@ -125,7 +125,7 @@
     value: string | undefined,
   ): Promise<void> {
     const {log, store, mirror} = this.options;
-    const key = quarantineKey.of(fingerprint);
+    const key = quarantineKey.forFingerprint(fingerprint);
     const isHeld = value !== undefined;
     const stands = mirror.get(key)?.value !== undefined;
     if (stands === isHeld) return;
@@ -136,8 +136,8 @@
       const reason = String(error);
       log.write('quarantine_write_failed', {fingerprint, isHeld, reason});
       // A later change of the same request has gone before it.
-      if (this.due.has(fingerprint)) return;
-      this.schedule(fingerprint, value, RETRY_MS);
+      if (this.pendingWrites.has(fingerprint)) return;
+      this.scheduleWrite(fingerprint, value, RETRY_DELAY_MS);
     }
   }
 }
--- a/packages/gateway/src/records/entry_problem.ts
+++ b/packages/gateway/src/records/invalid_entry.ts
@@ -1,14 +1,14 @@
-import type {EntryProblemKind} from './entry_problem_kind.js';
+import type {InvalidEntryKind} from './invalid_entry_kind.js';
 
 interface Options {
-  readonly kind: EntryProblemKind;
+  readonly kind: InvalidEntryKind;
   /** What was wrong, and what to do. */
   readonly message: string;
 }
 
 /** An entry of the store that does not say what it should, maybe because another program wrote it. */
-export class EntryProblem extends Error {
-  readonly kind: EntryProblemKind;
+export class InvalidEntry extends Error {
+  readonly kind: InvalidEntryKind;
 
   constructor({kind, message}: Options) {
     super(message);
--- a/packages/gateway/src/records/store_health.ts
+++ b/packages/gateway/src/records/store_health.ts
@@ -8,31 +8,31 @@
 
 /** Tells the log when this host loses the store and when it reaches it again. */
 export class StoreHealth {
-  private lost = false;
-  private lostAt = 0;
+  private unavailable = false;
+  private unavailableSince = 0;
 
   constructor(private readonly options: Options) {}
 
   /** Whether the last call to the store failed. */
-  get isLost(): boolean {
-    return this.lost;
+  get isUnavailable(): boolean {
+    return this.unavailable;
   }
 
   /** Notes that the store answered. */
-  noteSuccess(): void {
-    if (!this.lost) return;
+  recordSuccess(): void {
+    if (!this.unavailable) return;
     const {clock, log} = this.options;
-    this.lost = false;
-    const afterMs = Math.round(clock.now() - this.lostAt);
+    this.unavailable = false;
+    const afterMs = Math.round(clock.now() - this.unavailableSince);
     log.write('store_regained', {afterMs});
   }
 
   /** Notes that the store could not be reached. */
-  noteFailure(reason: string): void {
-    if (this.lost) return;
+  recordFailure(reason: string): void {
+    if (this.unavailable) return;
     const {clock, log} = this.options;
-    this.lost = true;
-    this.lostAt = clock.now();
+    this.unavailable = true;
+    this.unavailableSince = clock.now();
     log.write('store_lost', {reason});
   }
 }
--- a/packages/gateway/src/records/topic_follower.ts
+++ b/packages/gateway/src/records/topic_follower.ts
@@ -15,24 +15,24 @@
   readonly mirror: TopicMirror;
   readonly log: EventLog;
   /** How long the next call may wait for a record, in ms. */
-  readonly waitMs: () => number;
+  readonly longPollMs: () => number;
   /** Whether this host reads the topic now. */
-  readonly isWanted: () => boolean;
+  readonly shouldRead: () => boolean;
   /** Resolves when that may have changed. */
-  readonly waitWanted: () => Promise<void>;
+  readonly waitUntilReader: () => Promise<void>;
 }
 
 /** Pause after a failed call, in ms; doubled with each one in a row. */
-const RETRY_MS = 120;
+const MIN_BACKOFF_MS = 120;
 /** Longest such pause, in ms. */
-const MAX_RETRY_MS = 1_000;
+const MAX_BACKOFF_MS = 1_000;
 /** Least pause between two calls of a topic, so that a busy topic is read in batches, in ms. */
-const MIN_GAP_MS = 60;
+const READ_PAUSE_MS = 60;
 
 /** Keeps the copy of one topic up to date from the store while it is wanted. */
 export class TopicFollower {
-  private stopped = false;
-  private failures = 0;
+  private isStopped = false;
+  private consecutiveFailures = 0;
 
   constructor(private readonly options: Options) {}
 
@@ -43,12 +43,12 @@
 
   /** Stops reading. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   private async run(): Promise<void> {
-    const {isWanted, waitWanted} = this.options;
-    while (!this.stopped) {
+    const {shouldRead: isWanted, waitUntilReader: waitWanted} = this.options;
+    while (!this.isStopped) {
       if (isWanted()) await this.readOnce();
       else await waitWanted();
     }
@@ -57,17 +57,17 @@
   private async readOnce(): Promise<void> {
     const {clock, health} = this.options;
     try {
-      await this.read();
-      health.noteSuccess();
-      this.failures = 0;
-      await sleep(clock, MIN_GAP_MS);
+      await this.readNextPage();
+      health.recordSuccess();
+      this.consecutiveFailures = 0;
+      await sleep(clock, READ_PAUSE_MS);
     } catch (error) {
-      await this.handle(error);
+      await this.handleFailure(error);
     }
   }
 
-  private async read(): Promise<void> {
-    const {clock, store, mirror, waitMs} = this.options;
+  private async readNextPage(): Promise<void> {
+    const {clock, store, mirror, longPollMs: waitMs} = this.options;
     if (!mirror.isLoaded) return this.reload();
     const {topic, next: from} = mirror;
     const asOf = clock.now();
@@ -81,7 +81,7 @@
     mirror.load(await store.readNewest(mirror.topic), asOf);
   }
 
-  private async handle(error: unknown): Promise<void> {
+  private async handleFailure(error: unknown): Promise<void> {
     const {clock, random, mirror, health, log} = this.options;
     const failure =
       error instanceof StoreFailure
@@ -92,12 +92,12 @@
       try {
         return await this.reload();
       } catch (second) {
-        health.noteFailure(String(second));
+        health.recordFailure(String(second));
       }
     }
-    health.noteFailure(failure.message);
-    const pause = Math.min(MAX_RETRY_MS, RETRY_MS * 2 ** this.failures);
-    this.failures += 1;
+    health.recordFailure(failure.message);
+    const pause = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.consecutiveFailures);
+    this.consecutiveFailures += 1;
     await sleep(clock, jitter(random, pause));
   }
 }
--- a/packages/gateway/src/rollouts/log_rollout_counts.ts
+++ b/packages/gateway/src/rollouts/log_rollout_counts.ts
@@ -1,4 +1,4 @@
-import {roundHundredths} from '../observability/round_hundredths.js';
+import {roundToHundredths} from '../observability/round_to_hundredths.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {Rollout} from './rollout.js';
 
@@ -10,8 +10,8 @@
     service,
     version,
     elapsedMs: Math.round(rollout.elapsedMs),
-    share: roundHundredths(rollout.shareOf({hasSession: false})),
-    sessionShare: roundHundredths(rollout.shareOf({hasSession: true})),
+    share: roundToHundredths(rollout.shareOf({hasSession: false})),
+    sessionShare: roundToHundredths(rollout.shareOf({hasSession: true})),
     newSent: rollout.sent.fresh,
     oldSent: rollout.sent.old,
     newEnded: fresh.ended,
--- a/packages/gateway/src/rollouts/rollout_controller.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -1,6 +1,6 @@
 import {rankByHash, RolloutPhase} from '@bayspool/decisions/calls';
 import type {Clock, Timer} from '@bayspool/kernel';
-import type {WireReader} from '../beliefs/wire_reader.js';
+import type {RecordReader} from '../discovery/record_reader.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {RecordStore} from '../records/record_store.js';
 import {Topic} from '../records/topic.js';
@@ -15,7 +15,7 @@
   readonly rollouts: RolloutRegistry;
   readonly states: TopicMirror;
   readonly store: RecordStore;
-  readonly reader: WireReader;
+  readonly reader: RecordReader;
   readonly host: string;
   /** Returns the names of the hosts believed to be live, including this one. */
   readonly liveHosts: () => readonly string[];
@@ -155,7 +155,7 @@
         this.options.rollouts.findState(rollout)
       )
         return;
-      const {key, value} = reader.writeState({service, version, phase});
+      const {key, value} = reader.writeRolloutState({service, version, phase});
       const expectedEnd = this.options.states.next;
       await store.append({topic: Topic.STATUS, key, value, expectedEnd});
       log.write('rollout_written', {service, version, phase});
--- a/packages/gateway/src/rollouts/rollout_registry.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -6,10 +6,10 @@
   SessionVersions,
 } from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
-import type {WireReader} from '../beliefs/wire_reader.js';
+import type {RecordReader} from '../discovery/record_reader.js';
 import type {EventLog} from '../observability/event_log.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
-import type {Refusals} from '../records/refusals.js';
+import type {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import {Topic} from '../records/topic.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
 import type {RolloutDigest} from './rollout_digest.js';
@@ -23,11 +23,11 @@
   readonly log: EventLog;
   readonly orders: TopicMirror;
   readonly states: TopicMirror;
-  readonly reader: WireReader;
+  readonly reader: RecordReader;
   readonly sessions: SessionVersions;
   /** Whether this host recently received news of the store, directly or through other hosts. */
   readonly isConnected: () => boolean;
-  readonly refusals: Refusals;
+  readonly refusedEntries: RefusedEntryReporter;
   /** The start records, which hosts write when an order is first seen. */
   readonly startRecords: RolloutStartRecords;
   /** Returns how many of a service's calls a new version may get until the deadline of its rollout. */
@@ -96,7 +96,7 @@
   /** Returns the state of a rollout from this host's copy of the store. */
   findState(rollout: Rollout): RolloutState | undefined {
     return this.options.states
-      .live()
+      .listLive()
       .map(record => this.readState(record))
       .find(state => state !== undefined && isStateFor(state, rollout));
   }
@@ -157,7 +157,7 @@
   private applyOrder(record: KeyedRecord, isReload: boolean): void {
     const {reader, startRecords, states} = this.options;
     const order = this.tryRead(Topic.OPERATOR, record, () =>
-      reader.readOrder(record),
+      reader.readRolloutOrder(record),
     );
     if (!order) return;
     const previous = this.rollouts.get(order.service);
@@ -177,7 +177,7 @@
     });
     this.rollouts.set(order.service, rollout);
     this.logOrder(order, elapsedMs);
-    for (const state of states.live()) this.applyState(state);
+    for (const state of states.listLive()) this.applyState(state);
   }
 
   /** Returns the offset from which states belong to an order, as far as this host knows when the order arrives. */
@@ -243,7 +243,7 @@
 
   private readState(record: KeyedRecord): RolloutState | undefined {
     const {reader} = this.options;
-    return this.tryRead(Topic.STATUS, record, () => reader.readState(record));
+    return this.tryRead(Topic.STATUS, record, () => reader.readRolloutState(record));
   }
 
   private tryRead<T>(
@@ -254,7 +254,7 @@
     try {
       return action();
     } catch (error) {
-      this.options.refusals.note(topic, record, error);
+      this.options.refusedEntries.report(topic, record, error);
       return undefined;
     }
   }
--- a/packages/gateway/src/rollouts/rollout_start_records.ts
+++ b/packages/gateway/src/rollouts/rollout_start_records.ts
@@ -1,8 +1,8 @@
 import type {RolloutOrder} from '@bayspool/decisions/calls';
 import type {Clock} from '@bayspool/kernel';
 import {Codec, number} from 'purify-ts/Codec';
-import {readEntry} from '../records/read_entry.js';
-import type {Refusals} from '../records/refusals.js';
+import {decodeEntry} from '../records/decode_entry.js';
+import type {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import type {RecordStore} from '../records/record_store.js';
 import {Topic} from '../records/topic.js';
 import type {TopicMirror} from '../records/topic_mirror.js';
@@ -11,7 +11,7 @@
 
 interface Options {
   readonly clock: Clock;
-  readonly refusals: Refusals;
+  readonly refusedEntries: RefusedEntryReporter;
   readonly store: RecordStore;
   /** The local copy of the topic that holds the start records. */
   readonly mirror: TopicMirror;
@@ -70,14 +70,14 @@
   }
 
   private find(order: RolloutOrder): StartRecord | undefined {
-    const {mirror, refusals} = this.options;
+    const {mirror, refusedEntries: refusals} = this.options;
     const record = mirror.get(rolloutStartKey(order));
     if (record?.value === undefined) return undefined;
     try {
-      return readEntry(startRecordCodec, record);
+      return decodeEntry(startRecordCodec, record);
     } catch (error) {
       // Without the start record, this host relies on what it saw itself for times and states.
-      refusals.note(mirror.topic, record, error);
+      refusals.report(mirror.topic, record, error);
       return undefined;
     }
   }
--- a/packages/gateway/src/runners/declared_limit_bound.test.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.test.ts
@@ -4,7 +4,7 @@
 import {test} from 'node:test';
 import {findLimitExcess} from '@bayspool/decisions/calls/testing';
 import {SeededRandom, VirtualClock} from '@bayspool/kernel';
-import type {Cordons} from '../beliefs/cordons.js';
+import type {CordonRegistry} from '../discovery/cordon_registry.js';
 import type {ConnectionPool} from './connection_pool.js';
 import {DeclaredLimitBound} from './declared_limit_bound.js';
 import {Runner} from './runner.js';
@@ -74,7 +74,7 @@
       tolerance: () => TOLERANCE,
     });
     const gate = new RunnerGate({
-      cordons: {has: () => false} as unknown as Cordons,
+      cordons: {has: () => false} as unknown as CordonRegistry,
       bounds: [limit],
       sent: new SentCalls({clock, retentionMs: 5_000}),
     });
--- a/packages/gateway/src/runners/runner_gate.ts
+++ b/packages/gateway/src/runners/runner_gate.ts
@@ -1,11 +1,11 @@
-import type {Cordons} from '../beliefs/cordons.js';
+import type {CordonRegistry} from '../discovery/cordon_registry.js';
 import type {Runner} from './runner.js';
 import type {RunnerBound} from './runner_bound.js';
 import type {SentCalls} from './sent_calls.js';
 import type {WithheldRunner} from './withheld_runner.js';
 
 interface Options {
-  readonly cordons: Cordons;
+  readonly cordons: CordonRegistry;
   readonly bounds: readonly RunnerBound[];
   readonly sent: SentCalls;
 }
--- a/packages/gateway/src/testing/directory_fixture.ts
+++ b/packages/gateway/src/testing/directory_fixture.ts
@@ -1,11 +1,11 @@
 import type {RunnerEntry} from '@bayspool/decisions/calls';
 import {VirtualClock} from '@bayspool/kernel';
-import {RunnerDirectory} from '../beliefs/runner_directory.js';
-import type {WireReader} from '../beliefs/wire_reader.js';
+import {RunnerDirectory} from '../discovery/runner_directory.js';
+import type {RecordReader} from '../discovery/record_reader.js';
 import {EventLog} from '../observability/event_log.js';
 import {GatewayMetrics} from '../observability/gateway_metrics.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
-import {Refusals} from '../records/refusals.js';
+import {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import {Topic} from '../records/topic.js';
 import {TopicMirror} from '../records/topic_mirror.js';
 import {ConnectTimeout} from '../runners/connect_timeout.js';
@@ -28,7 +28,7 @@
   private readonly mirror = new TopicMirror(Topic.RUNNERS);
   private next = 0;
 
-  constructor(reader: WireReader) {
+  constructor(reader: RecordReader) {
     const {clock, metrics, mirror, lines} = this;
     const log = new EventLog({
       clock,
@@ -46,9 +46,9 @@
       mirror,
       reader,
       isCordoned: () => false,
-      refusals: new Refusals({log, metrics}),
-      freshness: mirror,
-      onGone: id => {
+      refusedEntries: new RefusedEntryReporter({log, metrics}),
+      freshnessMirror: mirror,
+      onRemoved: id => {
         this.prefixes.removeRunner(id);
         this.onGone(id);
       },
--- a/packages/gateway/src/testing/gateway_fixture.ts
+++ b/packages/gateway/src/testing/gateway_fixture.ts
@@ -220,7 +220,7 @@
 
   /** Stops all hosts and runners, so that a failed test leaves nothing that runs on. */
   async stop(): Promise<void> {
-    for (const {gateway} of this.hosts) gateway.halt();
+    for (const {gateway} of this.hosts) gateway.stopImmediately();
     for (const runner of this.runners) runner.stop();
   }
 }
--- a/packages/gateway/src/testing/plain_reader.ts
+++ b/packages/gateway/src/testing/plain_reader.ts
@@ -7,7 +7,7 @@
   RolloutState,
   RunnerEntry,
 } from '@bayspool/decisions/calls';
-import type {WireReader} from '../beliefs/wire_reader.js';
+import type {RecordReader} from '../discovery/record_reader.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
 
 /** A configuration as tests write it: the gateway's own types, with lists in place of maps. */
@@ -25,7 +25,7 @@
 const CORDON_PREFIX = 'cordon/';
 
 /** Reads records in which the gateway's own types stand as JSON. */
-export class PlainReader implements WireReader {
+export class PlainReader implements RecordReader {
   readonly configurationKey = 'configuration';
 
   readConfiguration({value = ''}: KeyedRecord): CallConfiguration {
@@ -44,12 +44,12 @@
     };
   }
 
-  readOrder({key, value, offset}: KeyedRecord): RolloutOrder | undefined {
+  readRolloutOrder({key, value, offset}: KeyedRecord): RolloutOrder | undefined {
     if (!key.startsWith(ROLLOUT_PREFIX) || !value) return undefined;
     return {...(JSON.parse(value) as RolloutOrder), offset};
   }
 
-  readPlaceOrder({key, value}: KeyedRecord): CordonOrder | undefined {
+  readCordonOrder({key, value}: KeyedRecord): CordonOrder | undefined {
     if (!key.startsWith(CORDON_PREFIX)) return undefined;
     const place = key.slice(CORDON_PREFIX.length);
     return {place, isCordoned: value !== undefined};
@@ -59,12 +59,12 @@
     return JSON.parse(value) as RunnerEntry;
   }
 
-  readState({key, value, offset}: KeyedRecord): RolloutState | undefined {
+  readRolloutState({key, value, offset}: KeyedRecord): RolloutState | undefined {
     if (!key.startsWith(ROLLOUT_PREFIX) || !value) return undefined;
     return {...(JSON.parse(value) as RolloutState), offset};
   }
 
-  writeState(state: Omit<RolloutState, 'offset'>): {
+  writeRolloutState(state: Omit<RolloutState, 'offset'>): {
     key: string;
     value: string;
   } {
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/rollout_world_host.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '@bayspool/kernel';
 import {EventLog} from '../observability/event_log.js';
 import {GatewayMetrics} from '../observability/gateway_metrics.js';
-import {Refusals} from '../records/refusals.js';
+import {RefusedEntryReporter} from '../records/refused_entry_reporter.js';
 import {Topic} from '../records/topic.js';
 import {TopicMirror} from '../records/topic_mirror.js';
 import type {Rollout} from '../rollouts/rollout.js';
@@ -49,7 +49,7 @@
       sink: {write: () => undefined},
     });
     const reader = new PlainReader();
-    const refusals = new Refusals({log, metrics: new GatewayMetrics()});
+    const refusals = new RefusedEntryReporter({log, metrics: new GatewayMetrics()});
     const orders = new TopicMirror(Topic.OPERATOR);
     const states = new TopicMirror(Topic.STATUS);
     const notes = new TopicMirror(Topic.HOSTS);
@@ -58,7 +58,7 @@
     this.sessions = new SessionVersions({clock, retentionMs: SESSION_KEPT_MS});
     const starts = new RolloutStartRecords({
       clock,
-      refusals,
+      refusedEntries: refusals,
       store: this.ownStore,
       mirror: notes,
     });
@@ -66,7 +66,7 @@
       clock,
       log,
       reader,
-      refusals,
+      refusedEntries: refusals,
       orders,
       states,
       startRecords: starts,
