--- a/packages/bench/src/fleet/core_log_seed.ts
+++ b/packages/bench/src/fleet/core_log_seed.ts
@@ -1,4 +1,4 @@
-import {hashKey, type Seed} from '@bayspool/decisions';
+import {hashAccessKey, type Seed} from '@bayspool/decisions';
 import {fleetKeys} from './fleet_keys.js';
 
 interface Options {
@@ -48,7 +48,7 @@
     ],
     workspaces: names.map((id, index) => ({
       id,
-      keyHashes: [hashKey(`${id}${fleetKeys.suffix}`)],
+      keyHashes: [hashAccessKey(`${id}${fleetKeys.suffix}`)],
       home: options.home ?? options.places[index % options.places.length],
       crossing: options.crossing ?? true,
       whenStale: options.whenStale ?? 'serve',
--- a/packages/bench/src/fleet/fleet.ts
+++ b/packages/bench/src/fleet/fleet.ts
@@ -1,7 +1,7 @@
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
-import {hashKey} from '@bayspool/decisions';
+import {hashAccessKey} from '@bayspool/decisions';
 import {FaultProxy} from '@bayspool/standins';
 import type {FleetEngine} from './fleet_engine.js';
 import type {FleetHost} from './fleet_host.js';
@@ -236,7 +236,7 @@
       configuration: {seed: join(this.folder, 'seed.json')},
       callers: {listen: host.callerAddress},
       operators: {listen: host.operatorAddress},
-      'operator fleet': {'key-hash': hashKey(fleetKeys.operator)},
+      'operator fleet': {'key-hash': hashAccessKey(fleetKeys.operator)},
       limits: {
         fleet: String(
           Object.values(this.options.places).reduce(
--- a/packages/bench/src/fuzz/failed_answer.ts
+++ b/packages/bench/src/fuzz/failed_answer.ts
@@ -1,4 +1,4 @@
-import {outcomeOf} from '@bayspool/decisions';
+import {determineOutcome} from '@bayspool/decisions';
 import type {ToldAnswer} from './told_answer.js';
 
 /** Status of an answer that ended with an error. */
@@ -9,7 +9,7 @@
   const text = error instanceof Error ? error.message : String(error);
   return {
     status: INTERNAL_ERROR,
-    outcome: outcomeOf(error),
+    outcome: determineOutcome(error),
     version: undefined,
     session: undefined,
     text,
--- a/packages/bench/src/fuzz/faulty_runner.ts
+++ b/packages/bench/src/fuzz/faulty_runner.ts
@@ -3,7 +3,7 @@
   type CacheEvent,
   type GenerateEvent,
   type GenerateRequest,
-  type Order,
+  type RunnerOrder,
   type Runner,
   type RunnerReport,
 } from '@bayspool/decisions';
@@ -62,19 +62,19 @@
     }
   }
 
-  async report(): Promise<RunnerReport> {
+  async fetchReport(): Promise<RunnerReport> {
     return this.options.gate.pass(
       Promise.resolve(this.options.engine.report()),
     );
   }
 
-  async cacheEvents(after: number): Promise<CacheEvent[]> {
+  async fetchCacheEvents(after: number): Promise<CacheEvent[]> {
     return this.options.gate.pass(
       Promise.resolve(this.options.engine.cacheEvents(after)),
     );
   }
 
-  async order(order: Order): Promise<void> {
+  async sendOrder(order: RunnerOrder): Promise<void> {
     if (this.options.gate.isRunning) this.options.engine.order(order);
   }
 }
--- a/packages/bench/src/fuzz/fuzz_host.ts
+++ b/packages/bench/src/fuzz/fuzz_host.ts
@@ -1,10 +1,10 @@
 import {Readable} from 'node:stream';
 import {daemonTokens, pluginRegistry} from '@bayspool/daemon';
 import {
-  hashKey,
+  hashAccessKey,
   type Configuration,
-  type PlainService,
-  type Rating,
+  type ServiceRunner,
+  type RatingService,
   type Runner,
 } from '@bayspool/decisions';
 import {
@@ -34,7 +34,7 @@
   readonly clock: Clock;
   readonly log: MemoryLog;
   readonly mesh: Mesh;
-  readonly rating: Rating;
+  readonly rating: RatingService;
   readonly packApp: PackApp;
   /** The engines as this host reaches them. */
   readonly runners: (
@@ -83,12 +83,12 @@
       place: options.place,
       gate: this.gate,
       receive: message =>
-        this.kernel.container.get(daemonTokens.peerInbox).receive(message),
+        this.kernel.container.get(daemonTokens.peerMessageHandler).handle(message),
     });
   }
 
   get config(): Configuration {
-    return this.kernel.container.get(daemonTokens.store).current;
+    return this.kernel.container.get(daemonTokens.configurationStore).current;
   }
 
   /** Begins to run; not waited for, since a start waits for peers. */
@@ -98,7 +98,7 @@
 
   /** Leaves in good order. */
   async leave(): Promise<void> {
-    this.kernel.container.get(daemonTokens.leaving).begin();
+    this.kernel.container.get(daemonTokens.leavingState).beginShutdown();
     await this.kernel.stop();
     this.gate.kill();
   }
@@ -115,10 +115,10 @@
       ],
       install: container => {
         container.bind(daemonTokens.log).toConstantValue(this.log);
-        container.bind(daemonTokens.rating).toConstantValue({
+        container.bind(daemonTokens.ratingService).toConstantValue({
           submit: sample => gate.pass(options.rating.submit(sample)),
-          results: (host, after, waitMs, signal) =>
-            gate.pass(options.rating.results(host, after, waitMs, signal)),
+          fetchResults: (host, after, waitMs, signal) =>
+            gate.pass(options.rating.fetchResults(host, after, waitMs, signal)),
         });
         container.bind(daemonTokens.peerTransport).toConstantValue({
           send: (address, message, {timeoutMs}) =>
@@ -137,7 +137,7 @@
     };
   }
 
-  private registry(): PlainService {
+  private registry(): ServiceRunner {
     const {options, gate} = this;
     return {
       id: 'registry',
@@ -182,6 +182,6 @@
 [operators]
 listen = 127.0.0.1:0
 [operator fuzz]
-key-hash = ${hashKey(fleetKeys.operator)}
+key-hash = ${hashAccessKey(fleetKeys.operator)}
 `;
 }
--- a/packages/bench/src/fuzz/oracle.ts
+++ b/packages/bench/src/fuzz/oracle.ts
@@ -6,7 +6,7 @@
   parseSealKeys,
   Sealer,
   ConfigRecord,
-  stateDigest,
+  computeStateDigest,
   type Bill,
   type Configuration,
 } from '@bayspool/decisions';
@@ -199,9 +199,9 @@
   }
 
   private checkAgreement(): void {
-    const digest = stateDigest(this.truth);
+    const digest = computeStateDigest(this.truth);
     for (const host of this.world.hosts) {
-      if (stateDigest(host.config) !== digest) {
+      if (computeStateDigest(host.config) !== digest) {
         throw new Violation(
           'in force everywhere',
           `${host.options.id} is at ${host.config.offset}, the log at ${this.truth.offset}`,
--- a/packages/bench/src/fuzz/world.ts
+++ b/packages/bench/src/fuzz/world.ts
@@ -130,7 +130,7 @@
       .map(index => this.hosts[index])
       .filter(host => host.gate.isRunning);
     const plans = running.flatMap(host => {
-      const desk = host.kernel.container.get(daemonTokens.planDesk);
+      const desk = host.kernel.container.get(daemonTokens.intentPlanner);
       try {
         return [{host, desk, plan: desk.plan(intent)}];
       } catch {
--- a/packages/daemon/src/billing/bill_keeper.ts
+++ b/packages/daemon/src/billing/bill_recorder.ts
@@ -1,6 +1,6 @@
 import {
   Bill,
-  BillLedger,
+  BillOutbox,
   type Log,
   type Membership,
   type Sealer,
@@ -17,7 +17,7 @@
 import type {Counter} from 'prom-client';
 import {z} from 'zod';
 import type {HostIdentity} from '../host/host_identity.js';
-import type {PeerMethods} from '../peers/peer_methods.js';
+import type {PeerMethodRegistry} from '../peers/peer_method_registry.js';
 import {billMethods} from './bill_methods.js';
 import type {BillReplicator} from './bill_replicator.js';
 
@@ -30,41 +30,41 @@
   readonly membership: Membership;
   readonly log: Log;
   readonly seal: Sealer;
-  readonly methods: PeerMethods;
+  readonly methods: PeerMethodRegistry;
   readonly replicator: BillReplicator;
   /** How often bills go to the log, in ms. */
-  readonly flushMs: number;
+  readonly flushIntervalMs: number;
   /** How long a stop tries to place its bills, in ms. */
-  readonly stopWaitMs: number;
+  readonly shutdownTimeoutMs: number;
   /** After this time bills of a process that is not heard of are adopted, in ms. */
   readonly adoptAfterMs: number;
   /** How long an answer whose bill no host takes waits for the log, in ms. */
-  readonly appendWaitMs: number;
+  readonly appendTimeoutMs: number;
   /** Bills that may wait for the log. */
-  readonly most: number;
+  readonly maxPending: number;
 }
 
-const STREAM = 'bills';
-const BATCH_MOST = 2_000;
-const STOP_PAUSE_MS = 500;
+const BILLS_STREAM = 'bills';
+const MAX_BATCH_SIZE = 2_000;
+const SHUTDOWN_RETRY_MS = 500;
 
 /**
  * Sees to it that each request's one bill reaches the log. A bill stands on a
  * second host before the answer is whole, goes to the log in batches, and is kept
  * until it was read back. Whoever holds the bill of a process that is gone appends it.
  */
-export class BillKeeper implements Service {
+export class BillRecorder implements Service {
   readonly name = 'bill keeper';
   private readonly stopping = new AbortController();
-  private readonly ledger: BillLedger;
-  private readonly alone: Counter;
-  private hasStopped = false;
+  private readonly ledger: BillOutbox;
+  private readonly unreplicatedTotal: Counter;
+  private isClosed = false;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    const ledger = new BillLedger({most: options.most});
+    const ledger = new BillOutbox({maxBills: options.maxPending});
     this.ledger = ledger;
-    this.alone = options.metrics.counter(
+    this.unreplicatedTotal = options.metrics.counter(
       'bills_alone_total',
       'Bills that stood on no second host when the answer was given.',
     );
@@ -77,21 +77,21 @@
         peers: ledger.heldCount,
       }),
     );
-    this.addMethods();
+    this.registerMethods();
   }
 
   /** False when so many bills wait that no more work may be begun. */
-  hasRoom(): boolean {
-    return this.ledger.hasRoom();
+  hasCapacity(): boolean {
+    return this.ledger.hasCapacity();
   }
 
   /** Takes a request's bill; resolves when it stands on a second host or in the log, or when neither can be had in time. */
-  async settle(bill: Bill): Promise<void> {
+  async record(bill: Bill): Promise<void> {
     this.ledger.add(bill);
     if (await this.options.replicator.replicate(bill)) return;
-    await this.appendInTime(bill);
+    await this.appendWithTimeout(bill);
     if (!this.ledger.isPending(bill.id)) return;
-    this.alone.inc();
+    this.unreplicatedTotal.inc();
     this.options.logger.warn('bill stands on this host only', {
       requestId: bill.id,
     });
@@ -104,15 +104,15 @@
   async stop(): Promise<void> {
     this.stopping.abort();
     await this.loop;
-    this.hasStopped = true;
+    this.isClosed = true;
     // Owners that are killed later count on what is held here.
-    this.ledger.adopt(() => true);
-    await this.placeAll();
+    this.ledger.adoptOrphaned(() => true);
+    await this.drainPending();
   }
 
   /** The last resort when no host takes a bill. */
-  private async appendInTime(bill: Bill): Promise<void> {
-    const {clock, appendWaitMs} = this.options;
+  private async appendWithTimeout(bill: Bill): Promise<void> {
+    const {clock, appendTimeoutMs: appendWaitMs} = this.options;
     const late = new AbortController();
     await Promise.race([
       this.append([bill]),
@@ -122,14 +122,14 @@
   }
 
   /** Before the process ends its bills have to stand in the log or at a peer; tried for a bounded time. */
-  private async placeAll(): Promise<void> {
-    const {clock, stopWaitMs, replicator, logger} = this.options;
+  private async drainPending(): Promise<void> {
+    const {clock, shutdownTimeoutMs: stopWaitMs, replicator, logger} = this.options;
     const deadline = clock.now() + stopWaitMs;
     for (;;) {
       await this.flush();
-      const rest = this.ledger.pending();
+      const rest = this.ledger.listPending();
       if (rest.length === 0) return;
-      if (await replicator.handOver(rest)) {
+      if (await replicator.handOff(rest)) {
         logger.info('bills handed to a peer', {bills: rest.length});
         return;
       }
@@ -139,12 +139,12 @@
         });
         return;
       }
-      await sleep(clock, STOP_PAUSE_MS);
+      await sleep(clock, SHUTDOWN_RETRY_MS);
     }
   }
 
   private async run(): Promise<void> {
-    const {clock, random, flushMs} = this.options;
+    const {clock, random, flushIntervalMs: flushMs} = this.options;
     while (!this.stopping.signal.aborted) {
       await sleep(clock, jitter(random, flushMs), this.stopping.signal);
       if (!this.stopping.signal.aborted) await this.flush();
@@ -153,7 +153,7 @@
 
   private async flush(): Promise<void> {
     this.adoptOrphans();
-    const bills = this.ledger.pending().slice(0, BATCH_MOST);
+    const bills = this.ledger.listPending().slice(0, MAX_BATCH_SIZE);
     if (bills.length > 0) await this.append(bills);
   }
 
@@ -161,13 +161,13 @@
     const {log, seal, identity, replicator, logger} = this.options;
     const value = seal.seal({type: 'bills', host: identity.id, bills});
     try {
-      const offset = await log.append(STREAM, [value]);
-      const page = await log.read(STREAM, offset, {waitMs: 0});
+      const offset = await log.append(BILLS_STREAM, [value]);
+      const page = await log.read(BILLS_STREAM, offset, {waitMs: 0});
       const ids = page.records
         .filter(record => record.value === value)
         .flatMap(() => bills.map(bill => bill.id));
-      this.ledger.settle(ids);
-      await replicator.release(ids);
+      this.ledger.confirm(ids);
+      await replicator.releaseHolders(ids);
     } catch (error) {
       logger.warn('bills not appended', {
         bills: bills.length,
@@ -179,8 +179,8 @@
   private adoptOrphans(): void {
     const {clock, logger, adoptAfterMs} = this.options;
     const oldest = clock.now() - adoptAfterMs;
-    const adopted = this.ledger.adopt((owner, boot, heldAt) => {
-      const known = this.bootOf(owner);
+    const adopted = this.ledger.adoptOrphaned((owner, boot, heldAt) => {
+      const known = this.findBoot(owner);
       return known === undefined ? heldAt < oldest : known !== boot;
     });
     if (adopted > 0)
@@ -188,40 +188,40 @@
   }
 
   /** The living process of a host, here or in another place; nothing when it is not heard of. */
-  private bootOf(host: string): string | undefined {
-    return this.options.membership.allHosts().find(entry => entry.id === host)
+  private findBoot(host: string): string | undefined {
+    return this.options.membership.listAllHosts().find(entry => entry.id === host)
       ?.boot;
   }
 
-  private addMethods(): void {
+  private registerMethods(): void {
     const {methods} = this.options;
     const hold = z.strictObject({
       owner: z.string(),
       boot: z.string(),
       bills: z.array(Bill),
     });
-    methods.add(
+    methods.register(
       billMethods.hold,
       hold,
       ({owner, boot, bills}) =>
-        !this.hasStopped &&
+        !this.isClosed &&
         bills.every(bill =>
-          this.ledger.hold(bill, owner, boot, this.options.clock.now()),
+          this.ledger.holdForPeer(bill, owner, boot, this.options.clock.now()),
         ),
     );
-    methods.add(
+    methods.register(
       billMethods.settled,
       z.strictObject({ids: z.array(z.string())}),
       ({ids}) => {
-        this.ledger.settle(ids);
+        this.ledger.confirm(ids);
         return true;
       },
     );
-    methods.add(
+    methods.register(
       billMethods.adopt,
       z.strictObject({bills: z.array(Bill)}),
       ({bills}) => {
-        if (this.hasStopped) return false;
+        if (this.isClosed) return false;
         bills.forEach(bill => this.ledger.add(bill));
         return true;
       },
--- a/packages/daemon/src/billing/bill_replicator.ts
+++ b/packages/daemon/src/billing/bill_replicator.ts
@@ -20,40 +20,40 @@
 
 type Peer = Pick<HostSummary, 'id' | 'address'>;
 
-const TRIES_INSIDE = 2;
-const TRIES_OUTSIDE = 2;
+const MAX_LOCAL_TRIES = 2;
+const MAX_REMOTE_TRIES = 2;
 
 /**
  * Puts bills on a second host: of the own place, or of another when none of the own
  * takes them. Bills that come while a call is out go together in the next one.
  */
 export class BillReplicator {
-  private next: Batch | undefined;
-  private current: Promise<unknown> = Promise.resolve();
+  private nextBatch: Batch | undefined;
+  private lastSend: Promise<unknown> = Promise.resolve();
   /** The address of the host that holds each bill. */
-  private readonly holders = new Map<string, string>();
+  private readonly holderByBill = new Map<string, string>();
 
   constructor(private readonly options: Options) {}
 
   /** True when a second host holds the bill. */
   replicate(bill: Bill): Promise<boolean> {
-    if (!this.next) {
+    if (!this.nextBatch) {
       const bills: Bill[] = [];
-      const done = this.current.then(() => this.sendNext());
-      this.next = {bills, done};
-      this.current = done.catch(() => false);
+      const done = this.lastSend.then(() => this.sendNextBatch());
+      this.nextBatch = {bills, done};
+      this.lastSend = done.catch(() => false);
     }
-    this.next.bills.push(bill);
-    return this.next.done;
+    this.nextBatch.bills.push(bill);
+    return this.nextBatch.done;
   }
 
   /** Lets the holders drop bills that stand in the log. */
-  async release(ids: readonly string[]): Promise<void> {
+  async releaseHolders(ids: readonly string[]): Promise<void> {
     const byHolder = new Map<string, string[]>();
     for (const id of ids) {
-      const holder = this.holders.get(id);
+      const holder = this.holderByBill.get(id);
       if (holder === undefined) continue;
-      this.holders.delete(id);
+      this.holderByBill.delete(id);
       byHolder.set(holder, [...(byHolder.get(holder) ?? []), id]);
     }
     const calls = [...byHolder].map(([address, settled]) =>
@@ -65,33 +65,33 @@
   }
 
   /** Gives bills to another host as its own; true when it took them. */
-  async handOver(bills: readonly Bill[]): Promise<boolean> {
+  async handOff(bills: readonly Bill[]): Promise<boolean> {
     return (
-      (await this.trySend(billMethods.adopt, {bills: [...bills]})) !== undefined
+      (await this.sendToAnyPeer(billMethods.adopt, {bills: [...bills]})) !== undefined
     );
   }
 
-  private async sendNext(): Promise<boolean> {
-    const {bills} = this.next!;
-    this.next = undefined;
+  private async sendNextBatch(): Promise<boolean> {
+    const {bills} = this.nextBatch!;
+    this.nextBatch = undefined;
     const {id, boot} = this.options.identity;
-    const holder = await this.trySend(billMethods.hold, {
+    const holder = await this.sendToAnyPeer(billMethods.hold, {
       owner: id,
       boot,
       bills,
     });
     if (holder === undefined) return false;
-    bills.forEach(bill => this.holders.set(bill.id, holder));
+    bills.forEach(bill => this.holderByBill.set(bill.id, holder));
     return true;
   }
 
   /** Gives the address of the host that took the bills, or nothing. */
-  private async trySend(
+  private async sendToAnyPeer(
     method: string,
     params: object,
   ): Promise<string | undefined> {
     const {client, logger, timeoutMs} = this.options;
-    for (const {id, address} of this.candidates()) {
+    for (const {id, address} of this.listCandidates()) {
       try {
         if (await client.call(address, method, params, {timeoutMs}))
           return address;
@@ -102,19 +102,19 @@
     return undefined;
   }
 
-  private candidates(): Peer[] {
+  private listCandidates(): Peer[] {
     const {membership, identity} = this.options;
-    const inside = this.rotate(membership.companions()).slice(0, TRIES_INSIDE);
-    const others = membership.digests().flatMap(digest => digest.hosts);
+    const inside = this.rotateRandomly(membership.listAvailablePeers()).slice(0, MAX_LOCAL_TRIES);
+    const others = membership.listDigests().flatMap(digest => digest.hosts);
     const staying = others.filter(host => !host.leaving);
-    const outside = this.rotate(staying).slice(0, TRIES_OUTSIDE);
+    const outside = this.rotateRandomly(staying).slice(0, MAX_REMOTE_TRIES);
     const leaving = membership
-      .living()
+      .listAlive()
       .filter(entry => entry.leaving && entry.id !== identity.id);
     return [...inside, ...outside, ...leaving.slice(0, 1)];
   }
 
-  private rotate<T>(items: readonly T[]): T[] {
+  private rotateRandomly<T>(items: readonly T[]): T[] {
     const start =
       items.length > 0 ? this.options.random.below(items.length) : 0;
     return [...items.slice(start), ...items.slice(0, start)];
--- a/packages/daemon/src/billing/billing_plugin.ts
+++ b/packages/daemon/src/billing/billing_plugin.ts
@@ -1,7 +1,7 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {BillKeeper} from './bill_keeper.js';
+import {BillRecorder} from './bill_recorder.js';
 import {BillReplicator} from './bill_replicator.js';
 
 const billingSection = {
@@ -29,7 +29,7 @@
     const section = settings.one(billingSection);
     const random = container.get(tokens.random);
     const logger = container.get(tokens.logger);
-    const identity = container.get(daemonTokens.identity);
+    const identity = container.get(daemonTokens.hostIdentity);
     const membership = container.get(daemonTokens.membership);
     const replicator = new BillReplicator({
       random,
@@ -39,7 +39,7 @@
       client: container.get(daemonTokens.peerClient),
       timeoutMs: section['hold-timeout'],
     });
-    const keeper = new BillKeeper({
+    const keeper = new BillRecorder({
       random,
       logger,
       identity,
@@ -48,15 +48,15 @@
       clock: container.get(tokens.clock),
       metrics: container.get(tokens.metrics),
       log: container.get(daemonTokens.log),
-      seal: container.get(daemonTokens.seals).records,
+      seal: container.get(daemonTokens.sealers).records,
       methods: container.get(daemonTokens.peerMethods),
-      flushMs: section.flush,
-      appendWaitMs: section['append-wait'],
-      stopWaitMs: section['stop-wait'],
+      flushIntervalMs: section.flush,
+      appendTimeoutMs: section['append-wait'],
+      shutdownTimeoutMs: section['stop-wait'],
       adoptAfterMs: section['adopt-after'],
-      most: section.waiting,
+      maxPending: section.waiting,
     });
-    container.bind(daemonTokens.bills).toConstantValue(keeper);
+    container.bind(daemonTokens.billRecorder).toConstantValue(keeper);
     container.bind(tokens.service).toConstantValue(keeper);
   },
 };
--- a/packages/daemon/src/callers/caller_desk.ts
+++ b/packages/daemon/src/callers/caller_desk.ts
@@ -1,6 +1,6 @@
 import {Problem, ProblemKind} from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import type {Leaving} from '../leaving/leaving.js';
+import type {LeavingState} from '../leaving/leaving_state.js';
 import type {WorkspaceLimits} from '../limits/workspace_limits.js';
 import {authenticate} from './authenticate.js';
 import type {CallDispatcher} from './call_dispatcher.js';
@@ -13,7 +13,7 @@
 
 interface Options {
   readonly store: ConfigurationStore;
-  readonly leaving: Leaving;
+  readonly leaving: LeavingState;
   readonly limits: WorkspaceLimits;
   readonly dispatcher: CallDispatcher;
   readonly keyed: KeyedAnswers;
@@ -31,7 +31,7 @@
   async answer(raw: RawCall): Promise<CallerAnswer> {
     const {store, leaving, limits} = this.options;
     if (!store.isReady) throw notReady();
-    if (leaving.refusesWork()) throw draining();
+    if (leaving.rejectsNewWork()) throw draining();
     const workspace = authenticate(
       store.current,
       raw.headers[callerHeaders.authorization],
--- a/packages/daemon/src/callers/caller_door.ts
+++ b/packages/daemon/src/callers/caller_door.ts
@@ -13,9 +13,9 @@
 import express, {type Express, type Request, type Response} from 'express';
 import type {Counter, Histogram} from 'prom-client';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import {healthApp} from '../health_app.js';
+import {createHealthRouter} from '../create_health_router.js';
 import {HttpServer} from '../http_server.js';
-import type {Leaving} from '../leaving/leaving.js';
+import type {LeavingState} from '../leaving/leaving_state.js';
 import type {CallerAnswer} from './caller_answer.js';
 import {callerHeaders} from './caller_headers.js';
 import {errorAnswer} from './error_answer.js';
@@ -30,12 +30,12 @@
   readonly metrics: Metrics;
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
-  readonly leaving: Leaving;
+  readonly leaving: LeavingState;
   readonly desk: CallerDesk;
   /** The largest body that is read, in bytes. */
   readonly bodyMost: number;
-  readonly headerBytesMost: number;
-  readonly connectionsMost: number;
+  readonly maxHeaderBytes: number;
+  readonly maxConnections: number;
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
   /** How long a stop waits for running requests, in ms. */
@@ -106,7 +106,7 @@
     const app = express();
     app.disable('x-powered-by');
     app.disable('etag');
-    app.use(healthApp(options));
+    app.use(createHealthRouter(options));
     app.use(express.raw({type: () => true, limit: options.bodyMost}));
     app.use((request, response) => this.answer(request, response));
     app.use(
--- a/packages/daemon/src/callers/callers_plugin.ts
+++ b/packages/daemon/src/callers/callers_plugin.ts
@@ -1,7 +1,7 @@
 import {
-  CheapOnly,
+  CheapestModelOnly,
   LearnedCascade,
-  StrongOnly,
+  StrongestModelOnly,
   type CascadePolicy,
 } from '@bayspool/decisions';
 import {
@@ -98,14 +98,14 @@
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
     const tracing = container.get(tokens.tracing);
-    const identity = container.get(daemonTokens.identity);
-    const seals = container.get(daemonTokens.seals);
-    const store = container.get(daemonTokens.store);
+    const identity = container.get(daemonTokens.hostIdentity);
+    const seals = container.get(daemonTokens.sealers);
+    const store = container.get(daemonTokens.configurationStore);
     const membership = container.get(daemonTokens.membership);
-    const bills = container.get(daemonTokens.bills);
+    const bills = container.get(daemonTokens.billRecorder);
     const client = container.get(daemonTokens.peerClient);
     const methods = container.get(daemonTokens.peerMethods);
-    const staleness = container.get(daemonTokens.staleness);
+    const staleness = container.get(daemonTokens.stalenessGuard);
     const legRunner = new LegRunner({
       clock,
       random,
@@ -115,7 +115,7 @@
       store,
       membership,
       staleness,
-      pool: container.get(daemonTokens.pool),
+      pool: container.get(daemonTokens.runnerPool),
       attemptsMost: callers.attempts,
     });
     const completionService = new CompletionService({
@@ -125,7 +125,7 @@
       store,
       membership,
       staleness,
-      pool: container.get(daemonTokens.pool),
+      pool: container.get(daemonTokens.runnerPool),
       legRunner,
       bills,
       cascade: cascadeOf(cascade.policy, random),
@@ -222,8 +222,8 @@
       store,
       dispatcher,
       keyed,
-      leaving: container.get(daemonTokens.leaving),
-      limits: container.get(daemonTokens.limits),
+      leaving: container.get(daemonTokens.leavingState),
+      limits: container.get(daemonTokens.workspaceLimits),
     });
     container.bind(daemonTokens.callerDesk).toConstantValue(desk);
     const door = new CallerDoor({
@@ -234,10 +234,10 @@
       tracing,
       store,
       endpoint: callers.listen,
-      leaving: container.get(daemonTokens.leaving),
+      leaving: container.get(daemonTokens.leavingState),
       bodyMost: callers['body-limit'],
-      headerBytesMost: callers['header-limit'],
-      connectionsMost: callers.connections,
+      maxHeaderBytes: callers['header-limit'],
+      maxConnections: callers.connections,
       headersTimeoutMs: callers['headers-timeout'],
       requestTimeoutMs: callers['request-timeout'],
       drainMs: callers.drain,
@@ -248,8 +248,8 @@
 };
 
 function cascadeOf(policy: string, random: RandomSource): CascadePolicy {
-  if (policy === 'strong-only') return new StrongOnly();
-  if (policy === 'cheap-only') return new CheapOnly();
+  if (policy === 'strong-only') return new StrongestModelOnly();
+  if (policy === 'cheap-only') return new CheapestModelOnly();
   return new LearnedCascade({random});
 }
 
--- a/packages/daemon/src/callers/completions/completion_handler.ts
+++ b/packages/daemon/src/callers/completions/completion_handler.ts
@@ -1,7 +1,7 @@
 import {
   Outcome,
-  promptText,
-  type SessionSeal,
+  renderPromptText,
+  type SessionSealer,
   type Workspace,
 } from '@bayspool/decisions';
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
@@ -21,7 +21,7 @@
 interface Options {
   readonly clock: Clock;
   readonly store: ConfigurationStore;
-  readonly sessions: SessionSeal;
+  readonly sessions: SessionSealer;
   readonly service: CompletionService;
 }
 
@@ -76,7 +76,7 @@
       selector: body.model,
       session: this.sessionOf(call),
       body,
-      prompt: promptText(body),
+      prompt: renderPromptText(body),
       stream: body.stream ?? false,
       deadlineAt: clock.now() + (call.deadlineMs ?? task.deadlineMs),
       signal: call.signal,
--- a/packages/daemon/src/callers/completions/completion_service.ts
+++ b/packages/daemon/src/callers/completions/completion_service.ts
@@ -3,10 +3,10 @@
   Bill,
   CascadePolicy,
   Membership,
-  SessionSeal,
+  SessionSealer,
 } from '@bayspool/decisions';
 import type {Clock, RandomSource, Tracing} from '@bayspool/kernel';
-import type {BillKeeper} from '../../billing/bill_keeper.js';
+import type {BillRecorder} from '../../billing/bill_recorder.js';
 import {noRoomForBills} from '../no_room_for_bills.js';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
 import type {EvidenceBook} from '../../ratings/evidence_book.js';
@@ -19,7 +19,7 @@
 import {LegPlanner} from './leg_planner.js';
 import type {LegRunner} from './leg_runner.js';
 import type {OpenCompletion} from './open_completion.js';
-import type {Staleness} from '../../configuration/staleness.js';
+import type {StalenessGuard} from '../../configuration/staleness_guard.js';
 
 interface Options {
   readonly clock: Clock;
@@ -27,15 +27,15 @@
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly staleness: Staleness;
+  readonly staleness: StalenessGuard;
   readonly pool: RunnerPool;
   readonly legRunner: LegRunner;
   readonly cascade: CascadePolicy;
   readonly durations: DurationBook;
   readonly ratings: RatingBook;
   readonly evidence: EvidenceBook;
-  readonly bills: BillKeeper;
-  readonly sessions: SessionSeal;
+  readonly bills: BillRecorder;
+  readonly sessions: SessionSealer;
   /** How long a held answer waits for its rating, in ms. */
   readonly ratingWaitMs: number;
   /** The part of answers handed in for rating when nothing asks for it. */
@@ -54,8 +54,8 @@
 
   /** Gives the answer once its first part is there; problems before that are thrown. */
   async open(request: CompletionRequest): Promise<OpenCompletion> {
-    if (!this.options.bills.hasRoom()) throw noRoomForBills();
-    await this.options.staleness.settle();
+    if (!this.options.bills.hasCapacity()) throw noRoomForBills();
+    await this.options.staleness.refreshIfStale();
     const legs = this.planner.plan(request);
     const done: Leg[] = [];
     try {
@@ -85,7 +85,7 @@
       this.rate(request, leg, this.options.ratingWaitMs),
     );
     if (good !== true) return undefined;
-    await this.options.bills.settle(this.billOf(request, done, true));
+    await this.options.bills.record(this.billOf(request, done, true));
     return this.opened(request, leg, replay(parts));
   }
 
@@ -132,7 +132,7 @@
             leg.version.id,
             this.options.clock.now() - startedAt,
           );
-          await this.options.bills.settle(this.billOf(request, done, true));
+          await this.options.bills.record(this.billOf(request, done, true));
         }
         yield part;
       }
@@ -208,7 +208,7 @@
     done: readonly Leg[],
   ): void {
     if (done.some(leg => leg.tokens > 0))
-      void this.options.bills.settle(this.billOf(request, done, false));
+      void this.options.bills.record(this.billOf(request, done, false));
   }
 
   private billOf(
@@ -249,7 +249,7 @@
 
   private sessionOf(request: CompletionRequest, leg: Leg): string {
     const {sessions, store, clock} = this.options;
-    return sessions.mint(
+    return sessions.seal(
       request.session ?? {
         id: randomUUID(),
         workspace: request.workspace.id,
--- a/packages/daemon/src/callers/completions/leg_planner.ts
+++ b/packages/daemon/src/callers/completions/leg_planner.ts
@@ -1,5 +1,5 @@
 import {
-  eligibleVersions,
+  findEligibleVersions,
   pickVersions,
   type CascadePolicy,
   type Membership,
@@ -12,7 +12,7 @@
   type RandomSource,
 } from '@bayspool/kernel';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
-import type {Staleness} from '../../configuration/staleness.js';
+import type {StalenessGuard} from '../../configuration/staleness_guard.js';
 import type {EvidenceBook} from '../../ratings/evidence_book.js';
 import type {RatingBook} from '../../ratings/rating_book.js';
 import type {RunnerPool} from '../../runners/runner_pool.js';
@@ -25,7 +25,7 @@
   readonly random: RandomSource;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly staleness: Staleness;
+  readonly staleness: StalenessGuard;
   readonly pool: RunnerPool;
   readonly cascade: CascadePolicy;
   readonly durations: DurationBook;
@@ -49,13 +49,13 @@
   private chooseVersions(request: CompletionRequest): readonly Version[] {
     const {store, staleness, membership, random, evidence, cascade, clock} =
       this.options;
-    const eligible = eligibleVersions(store.current, {
+    const eligible = findEligibleVersions(store.current, {
       workspace: request.workspace.id,
       task: request.taskName,
       selector: request.selector,
       session: request.session,
       stale: staleness.isStale(),
-      suspects: membership.suspects(),
+      suspects: membership.collectSuspects(),
     });
     const versions = eligible.caseOf({
       Left: problem => {
@@ -66,8 +66,8 @@
     if (request.session) return versions;
     const picked = pickVersions(versions, {
       random,
-      mayExpose: version => evidence.mayExpose(version),
-      isCarried: version => this.options.pool.carries(version.id),
+      hasExposureBudget: version => evidence.mayExpose(version),
+      isLoaded: version => this.options.pool.carries(version.id),
     });
     if (picked.length === 0) throw exposureUsedUp();
     const now = clock.now();
@@ -84,7 +84,7 @@
       quality: request.task.quality,
       remainingMs: request.deadlineAt - now,
       ratingWaitMs: this.options.ratingWaitMs,
-      holdable: !request.stream,
+      canHoldAnswer: !request.stream,
       now,
     }).legs;
   }
--- a/packages/daemon/src/callers/completions/leg_runner.ts
+++ b/packages/daemon/src/callers/completions/leg_runner.ts
@@ -1,13 +1,13 @@
 import {
   Backoff,
-  eligibleVersions,
+  findEligibleVersions,
   Outcome,
-  preferredPlace,
-  prefixChain,
+  resolveServingPlace,
+  hashPromptPrefixes,
   RequestFailure,
   RetryBudget,
   RunnerFailure,
-  estimateTokens,
+  estimateTokenCount,
   type GenerateEvent,
   type Membership,
   type Runner,
@@ -31,7 +31,7 @@
 import type {CompletionRequest} from './completion_request.js';
 import type {Leg} from './leg.js';
 import {legProblems} from './leg_problems.js';
-import type {Staleness} from '../../configuration/staleness.js';
+import type {StalenessGuard} from '../../configuration/staleness_guard.js';
 
 interface Options {
   readonly clock: Clock;
@@ -42,7 +42,7 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   readonly pool: RunnerPool;
-  readonly staleness: Staleness;
+  readonly staleness: StalenessGuard;
   /** Attempts at one leg at most, the first included. */
   readonly attemptsMost: number;
 }
@@ -72,11 +72,11 @@
     const avoid = new Set<string>();
     const backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: BACKOFF_FIRST_MS,
+      maxMs: BACKOFF_MOST_MS,
     });
-    const prefixes = prefixChain(leg.version.id, request.prompt);
-    this.budget.earn();
+    const prefixes = hashPromptPrefixes(leg.version.id, request.prompt);
+    this.budget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
       const grant = await this.acquireFresh(request, leg, prefixes, avoid);
       const span = this.options.tracing.start('attempt', request.trace, {
@@ -107,7 +107,7 @@
       } finally {
         span.end();
       }
-      await sleep(clock, backoff.next(), request.signal);
+      await sleep(clock, backoff.nextDelayMs(), request.signal);
     }
   }
 
@@ -120,7 +120,7 @@
   ): Promise<Grant<Runner>> {
     const grant = await this.acquire(request, leg, prefixes, avoid);
     if (!this.options.staleness.isStale()) return grant;
-    await this.options.staleness.settle();
+    await this.options.staleness.refreshIfStale();
     const problem = this.recheck(request, leg);
     if (!problem) return grant;
     grant.release(GrantResult.CANCELLED);
@@ -146,9 +146,9 @@
           weight: workspace.weight,
           priority: request.priority,
           deadlineAt: request.deadlineAt,
-          cost: estimateTokens(request.prompt) + 1,
+          cost: estimateTokenCount(request.prompt) + 1,
           version: leg.version.id,
-          places: [...new Set([preferredPlace(store.current, home), home])],
+          places: [...new Set([resolveServingPlace(store.current, home), home])],
           crossing: workspace.crossing,
           prefixes,
           avoid,
@@ -167,13 +167,13 @@
 
   /** Whether the version may still have new work for this request: asked at the moment of dispatch. */
   private recheck(request: CompletionRequest, leg: Leg): Problem | undefined {
-    const eligible = eligibleVersions(this.options.store.current, {
+    const eligible = findEligibleVersions(this.options.store.current, {
       workspace: request.workspace.id,
       task: request.taskName,
       selector: request.selector,
       session: request.session,
       stale: this.options.staleness.isStale(),
-      suspects: this.options.membership.suspects(),
+      suspects: this.options.membership.collectSuspects(),
     });
     return eligible.caseOf({
       Left: problem => problem,
@@ -202,7 +202,7 @@
           body: request.body,
           priority: request.priority,
           resumeFrom: leg.tokens,
-          given: leg.text,
+          generatedText: leg.text,
           prefixes,
           headers: this.options.tracing.inject(trace),
         },
@@ -259,6 +259,6 @@
   ): boolean {
     if (attempt >= this.options.attemptsMost) return false;
     if (this.options.clock.now() >= request.deadlineAt) return false;
-    return failure.busy || this.budget.spend();
+    return failure.busy || this.budget.trySpend();
   }
 }
--- a/packages/daemon/src/callers/describe_error.ts
+++ b/packages/daemon/src/callers/describe_error.ts
@@ -1,4 +1,4 @@
-import {Outcome, outcomeOf, RequestFailure} from '@bayspool/decisions';
+import {Outcome, determineOutcome, RequestFailure} from '@bayspool/decisions';
 import {toProblem, type Problem, type ProblemKind} from '@bayspool/kernel';
 
 /** The body of every error, in the OpenAI shape with two fields added. */
@@ -23,7 +23,7 @@
 
 /** Describes any failure in the shape that callers get. */
 export function describeError(error: unknown, requestId: string): Description {
-  const outcome = outcomeOf(error);
+  const outcome = determineOutcome(error);
   const problem =
     error instanceof RequestFailure ? error.problem : toProblem(error);
   const body = {
--- a/packages/daemon/src/callers/services/service_caller.ts
+++ b/packages/daemon/src/callers/services/service_caller.ts
@@ -2,13 +2,13 @@
 import {
   Backoff,
   Outcome,
-  preferredPlace,
+  resolveServingPlace,
   RequestFailure,
   RetryBudget,
   RunnerFailure,
-  type PlainService,
+  type ServiceRunner,
   type Route,
-  type ServiceAnswer,
+  type ServiceResponse,
   type ServiceRequest,
   type Workspace,
 } from '@bayspool/decisions';
@@ -22,7 +22,7 @@
   type RandomSource,
   type Tracing,
 } from '@bayspool/kernel';
-import type {BillKeeper} from '../../billing/bill_keeper.js';
+import type {BillRecorder} from '../../billing/bill_recorder.js';
 import {noRoomForBills} from '../no_room_for_bills.js';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
 import type {Grant} from '../../runners/grant.js';
@@ -42,7 +42,7 @@
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
   readonly pool: ServicePool;
-  readonly bills: BillKeeper;
+  readonly bills: BillRecorder;
   /** Attempts at a call that may be repeated. */
   readonly attemptsMost: number;
   /** An answer up to this size is collected before it is passed on, in bytes. */
@@ -82,9 +82,9 @@
 
   async handle(call: CallerCall): Promise<CallerAnswer> {
     const serviceCall = this.toServiceCall(call);
-    if (!this.options.bills.hasRoom()) throw noRoomForBills();
+    if (!this.options.bills.hasCapacity()) throw noRoomForBills();
     const answer = await this.send(serviceCall);
-    await this.options.bills.settle({
+    await this.options.bills.record({
       type: 'bill',
       id: call.billId,
       workspace: call.workspace,
@@ -129,17 +129,17 @@
 
   private async send(
     serviceCall: ServiceCall,
-  ): Promise<ServiceAnswer<CallerAnswer['body']>> {
+  ): Promise<ServiceResponse<CallerAnswer['body']>> {
     const {clock, random, logger} = this.options;
     const {call, route} = serviceCall;
     const backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: BACKOFF_FIRST_MS,
+      maxMs: BACKOFF_MOST_MS,
     });
     const avoid = new Set<string>();
     let mayHaveRun = false;
-    this.budget.earn();
+    this.budget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
       const grant = await this.acquire(serviceCall, avoid, mayHaveRun);
       try {
@@ -160,11 +160,11 @@
           attempt < this.options.attemptsMost &&
           clock.now() < serviceCall.deadlineAt &&
           !call.signal.aborted;
-        if (!repeatable || !inTime || !this.budget.spend())
+        if (!repeatable || !inTime || !this.budget.trySpend())
           throw givenUp(failure, mayHaveRun, route.once);
         avoid.add(grant.target.id);
       }
-      await sleep(clock, backoff.next(), call.signal);
+      await sleep(clock, backoff.nextDelayMs(), call.signal);
     }
   }
 
@@ -172,7 +172,7 @@
     serviceCall: ServiceCall,
     avoid: ReadonlySet<string>,
     mayHaveRun: boolean,
-  ): Promise<Grant<PlainService>> {
+  ): Promise<Grant<ServiceRunner>> {
     const {store, pool} = this.options;
     const workspace = store.current.workspaces[serviceCall.call.workspace];
     const home = workspace.home;
@@ -185,7 +185,7 @@
           deadlineAt: serviceCall.deadlineAt,
           cost: 1,
           version: serviceCall.service,
-          places: [...new Set([preferredPlace(store.current, home), home])],
+          places: [...new Set([resolveServingPlace(store.current, home), home])],
           crossing: workspace.crossing,
           prefixes: [],
           avoid,
@@ -210,8 +210,8 @@
 
   private async attempt(
     serviceCall: ServiceCall,
-    grant: Grant<PlainService>,
-  ): Promise<ServiceAnswer<CallerAnswer['body']>> {
+    grant: Grant<ServiceRunner>,
+  ): Promise<ServiceResponse<CallerAnswer['body']>> {
     const {clock, tracing, collectMost} = this.options;
     const {call, request, route, deadlineAt} = serviceCall;
     const span = tracing.start('attempt', call.trace, {
@@ -223,7 +223,7 @@
       : AbortSignal.any([call.signal, timeout.signal]);
     let result: GrantResult = GrantResult.FAILED;
     try {
-      const answer: ServiceAnswer<Readable> = await grant.target.call(
+      const answer: ServiceResponse<Readable> = await grant.target.call(
         request,
         signal,
       );
--- a/packages/daemon/src/callers/tickets/answer_home.ts
+++ b/packages/daemon/src/callers/tickets/answer_home.ts
@@ -1,5 +1,5 @@
 import {createHash} from 'node:crypto';
-import {AnswerMemory, Outcome, RequestFailure} from '@bayspool/decisions';
+import {IdempotencyCache, Outcome, RequestFailure} from '@bayspool/decisions';
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
 import type {CallDispatcher} from '../call_dispatcher.js';
 import type {CallerCall} from '../caller_call.js';
@@ -19,20 +19,20 @@
 
 /** Runs each keyed call once at this process and remembers what came of it. */
 export class AnswerHome {
-  readonly memory: AnswerMemory<StoredAnswer>;
+  readonly memory: IdempotencyCache<StoredAnswer>;
 
   constructor(private readonly options: Options) {
     const {clock, keepMs, bytesMost} = options;
-    this.memory = new AnswerMemory({
+    this.memory = new IdempotencyCache({
       clock,
-      keepMs,
-      bytesMost,
-      sizeOf: answer => answer.body.length,
+      retentionMs: keepMs,
+      maxBytes: bytesMost,
+      measureBytes: answer => answer.body.length,
     });
   }
 
   async answer(key: string, call: CallerCall): Promise<StoredAnswer> {
-    const started = this.memory.once(key, fingerprintOf(call), () =>
+    const started = this.memory.runOnce(key, fingerprintOf(call), () =>
       this.run(call),
     );
     const answer = await started.caseOf({
--- a/packages/daemon/src/callers/tickets/claim_keeper.ts
+++ b/packages/daemon/src/callers/tickets/claim_keeper.ts
@@ -1,7 +1,7 @@
 import {randomUUID} from 'node:crypto';
 import {
   Backoff,
-  Claim,
+  ClaimRecord,
   ClaimTable,
   type Log,
   type Sealer,
@@ -55,13 +55,13 @@
   }
 
   /** Claims a key and gives the claim that won, once it was read back. Nothing was dispatched when this fails. */
-  async claim(key: string): Promise<Claim> {
+  async claim(key: string): Promise<ClaimRecord> {
     const {clock, log, seal, identity, timeoutMs} = this.options;
     const deadline = clock.now() + timeoutMs;
     await this.waitUntil(() => this.sawEnd, deadline);
-    const known = this.table.winner(key);
+    const known = this.table.findWinner(key);
     if (known) return known;
-    const record: Claim = {
+    const record: ClaimRecord = {
       type: 'claim',
       id: randomUUID(),
       key,
@@ -73,10 +73,10 @@
     try {
       await log.append(this.stream, [seal.seal(record)]);
     } catch (error) {
-      if (!this.table.winner(key)) throw logProblem(error);
+      if (!this.table.findWinner(key)) throw logProblem(error);
     }
-    await this.waitUntil(() => this.table.winner(key) !== undefined, deadline);
-    return this.table.winner(key)!;
+    await this.waitUntil(() => this.table.findWinner(key) !== undefined, deadline);
+    return this.table.findWinner(key)!;
   }
 
   /** Keys that are claimed, as far as this host has read. */
@@ -86,7 +86,7 @@
 
   /** Whether the key was claimed, as far as this host has read. */
   knows(key: string): boolean {
-    return this.table.winner(key) !== undefined;
+    return this.table.findWinner(key) !== undefined;
   }
 
   async start(): Promise<void> {
@@ -102,8 +102,8 @@
     const {clock, random, logger} = this.options;
     const backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: BACKOFF_FIRST_MS,
+      maxMs: BACKOFF_MOST_MS,
     });
     while (!this.stopping.signal.aborted) {
       try {
@@ -115,7 +115,7 @@
           stream: this.stream,
           error: String(error),
         });
-        await sleep(clock, backoff.next(), this.stopping.signal);
+        await sleep(clock, backoff.nextDelayMs(), this.stopping.signal);
       }
     }
   }
@@ -128,7 +128,7 @@
       signal: this.stopping.signal,
     });
     for (const record of page.records) {
-      const parsed = Claim.safeParse(
+      const parsed = ClaimRecord.safeParse(
         this.options.seal.open(record.value).orDefault(undefined),
       );
       if (parsed.success) this.table.fold(parsed.data, record.at);
--- a/packages/daemon/src/callers/tickets/key_claims.ts
+++ b/packages/daemon/src/callers/tickets/key_claims.ts
@@ -1,4 +1,4 @@
-import type {Claim, Membership} from '@bayspool/decisions';
+import type {ClaimRecord, Membership} from '@bayspool/decisions';
 import type {HostIdentity} from '../../host/host_identity.js';
 import type {PeerClient} from '../../peers/peer_client.js';
 import type {AnswerHome} from './answer_home.js';
@@ -21,7 +21,7 @@
   constructor(private readonly options: Options) {}
 
   /** The claim that won a key of the own place; fails as not run only if no host can have run it. */
-  async claim(key: string): Promise<Claim> {
+  async claim(key: string): Promise<ClaimRecord> {
     try {
       return await this.options.claims.claim(key);
     } catch (error) {
@@ -36,7 +36,7 @@
    * keys. Which of them used a key is known from the log alone, so without it nobody can say that the key
    * was not used.
    */
-  async claimVacant(place: string, key: string): Promise<Claim> {
+  async claimVacant(place: string, key: string): Promise<ClaimRecord> {
     try {
       return await this.options.vacantClaims.claim(place, key);
     } catch (error) {
@@ -48,7 +48,7 @@
   knows(key: string): boolean {
     const {claims, vacantClaims, home} = this.options;
     return (
-      claims.knows(key) || vacantClaims.knows(key) || home.memory.knows(key)
+      claims.knows(key) || vacantClaims.knows(key) || home.memory.hasKey(key)
     );
   }
 
@@ -59,7 +59,7 @@
   private async isUnused(key: string): Promise<boolean> {
     const {membership, client, identity} = this.options;
     if (this.knows(key)) return false;
-    const others = membership.known().filter(entry => entry.id !== identity.id);
+    const others = membership.listKnown().filter(entry => entry.id !== identity.id);
     const replies = await Promise.all(
       others.map(entry =>
         client
--- a/packages/daemon/src/callers/tickets/keyed_answers.ts
+++ b/packages/daemon/src/callers/tickets/keyed_answers.ts
@@ -1,9 +1,9 @@
 import {createHash, randomUUID} from 'node:crypto';
 import {
-  rendezvous,
+  selectByRendezvousHash,
   type Membership,
   type Ticket,
-  type TicketSeal,
+  type TicketSealer,
 } from '@bayspool/decisions';
 import {
   Problem,
@@ -17,7 +17,7 @@
 import type {HostIdentity} from '../../host/host_identity.js';
 import type {PeerClient} from '../../peers/peer_client.js';
 import {PeerPool} from '../../peers/peer_pool.js';
-import type {PeerMethods} from '../../peers/peer_methods.js';
+import type {PeerMethodRegistry} from '../../peers/peer_method_registry.js';
 import type {CallDispatcher} from '../call_dispatcher.js';
 import type {CallerCall} from '../caller_call.js';
 import {errorAnswer} from '../error_answer.js';
@@ -38,8 +38,8 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   readonly client: PeerClient;
-  readonly methods: PeerMethods;
-  readonly seal: TicketSeal;
+  readonly methods: PeerMethodRegistry;
+  readonly seal: TicketSealer;
   readonly home: AnswerHome;
   readonly claims: KeyClaims;
   readonly successors: Successors;
@@ -84,12 +84,12 @@
       address: identity.peerAddress,
       expiresAt: Math.round(clock.wall() + ticketLifeMs),
     };
-    return {ticket: seal.mint(ticket), expiresInMs: ticketLifeMs};
+    return {ticket: seal.seal(ticket), expiresInMs: ticketLifeMs};
   }
 
   /** Answers a call that carries `key`. */
   async answer(key: string, call: CallerCall): Promise<StoredAnswer> {
-    if (this.options.seal.recognises(key)) return this.answerTicket(key, call);
+    if (this.options.seal.isTicket(key)) return this.answerTicket(key, call);
     const hashed = createHash('sha256')
       .update(`${call.workspace}\n${key}`)
       .digest('hex');
@@ -104,7 +104,7 @@
   /** Hands the keys of this process to a companion, so that answers given here stay known. */
   async stop(): Promise<void> {
     await this.options.successors.handOver(
-      await this.options.home.memory.used(),
+      await this.options.home.memory.listUsedKeys(),
     );
   }
 
@@ -129,13 +129,13 @@
     call: CallerCall,
   ): Promise<StoredAnswer> {
     const {identity, store, membership} = this.options;
-    const [place] = rendezvous(Object.keys(store.current.places), key, 1);
+    const [place] = selectByRendezvousHash(Object.keys(store.current.places), key, 1);
     if (place === identity.place) return this.answerOwn(key, call);
-    if (!(place in membership.placeAges()))
+    if (!(place in membership.computePlaceAges()))
       return this.answerVacant(place, key, call);
     const hosts =
-      membership.digests().find(digest => digest.place === place)?.hosts ?? [];
-    const [target] = rendezvous(
+      membership.listDigests().find(digest => digest.place === place)?.hosts ?? [];
+    const [target] = selectByRendezvousHash(
       hosts.filter(host => !host.leaving).map(host => host.address),
       key,
       1,
@@ -167,9 +167,9 @@
     const {identity, membership, home} = this.options;
     const hosts = [
       identity.id,
-      ...membership.companions().map(entry => entry.id),
+      ...membership.listAvailablePeers().map(entry => entry.id),
     ];
-    const [owner] = rendezvous(hosts, key, 1);
+    const [owner] = selectByRendezvousHash(hosts, key, 1);
     const entry = owner === identity.id ? undefined : membership.get(owner);
     if (!entry) return home.answer(key, call);
     try {
@@ -253,7 +253,7 @@
       boot: z.string().optional(),
       call: CallMessage,
     });
-    methods.add(answerMethods.run, params, ({key, boot, call}) => {
+    methods.register(answerMethods.run, params, ({key, boot, call}) => {
       if (
         boot !== undefined &&
         boot !== identity.boot &&
@@ -264,12 +264,12 @@
         .answer(key, this.toCall(call))
         .catch(error => storeAnswer(errorAnswer(error, call.id)));
     });
-    methods.add(
+    methods.register(
       answerMethods.unused,
       z.strictObject({key: z.string()}),
       ({key: asked}) => !this.options.claims.knows(asked),
     );
-    methods.add(answerMethods.claim, params, ({key, call}) =>
+    methods.register(answerMethods.claim, params, ({key, call}) =>
       this.answerOwn(key, this.toCall(call)).catch(error =>
         storeAnswer(errorAnswer(error, call.id)),
       ),
--- a/packages/daemon/src/callers/tickets/successors.ts
+++ b/packages/daemon/src/callers/tickets/successors.ts
@@ -1,9 +1,9 @@
-import type {AnswerMemory, Membership} from '@bayspool/decisions';
+import type {IdempotencyCache, Membership} from '@bayspool/decisions';
 import type {Logger} from '@bayspool/kernel';
 import {z} from 'zod';
 import type {HostIdentity} from '../../host/host_identity.js';
 import type {PeerClient} from '../../peers/peer_client.js';
-import type {PeerMethods} from '../../peers/peer_methods.js';
+import type {PeerMethodRegistry} from '../../peers/peer_method_registry.js';
 import {StoredAnswer} from '../stored_answer.js';
 import {answerMethods} from './answer_methods.js';
 
@@ -12,8 +12,8 @@
   readonly identity: HostIdentity;
   readonly membership: Membership;
   readonly client: PeerClient;
-  readonly methods: PeerMethods;
-  readonly memory: AnswerMemory<StoredAnswer>;
+  readonly methods: PeerMethodRegistry;
+  readonly memory: IdempotencyCache<StoredAnswer>;
 }
 
 const usedKey = z.strictObject({
@@ -50,9 +50,9 @@
     if (this.adopted.has(boot)) return identity.peerAddress;
     const addresses =
       place === identity.place
-        ? membership.companions().map(entry => entry.address)
+        ? membership.listAvailablePeers().map(entry => entry.address)
         : (
-            membership.digests().find(digest => digest.place === place)
+            membership.listDigests().find(digest => digest.place === place)
               ?.hosts ?? []
           ).map(host => host.address);
     const replies = await Promise.all(
@@ -72,7 +72,7 @@
    */
   async handOver(used: readonly UsedKey[]): Promise<void> {
     const {identity, membership, client, logger} = this.options;
-    const [companion] = membership.companions();
+    const [companion] = membership.listAvailablePeers();
     if (!companion) return;
     const params = {
       from: [identity.boot, ...this.adopted],
@@ -99,14 +99,14 @@
       to: z.string(),
       used: z.array(usedKey),
     });
-    methods.add(answerMethods.adopt, adoptParams, ({from, to, used}) => {
+    methods.register(answerMethods.adopt, adoptParams, ({from, to, used}) => {
       if (to !== identity.id) return false;
       for (const {key, fingerprint, answer} of used)
-        memory.adopt(key, fingerprint, answer);
+        memory.adoptAnswer(key, fingerprint, answer);
       from.forEach(boot => this.adopted.add(boot));
       return true;
     });
-    methods.add(
+    methods.register(
       answerMethods.adopted,
       z.strictObject({boot: z.string()}),
       ({boot}) => this.adopted.has(boot),
--- a/packages/daemon/src/callers/tickets/vacant_place_claims.ts
+++ b/packages/daemon/src/callers/tickets/vacant_place_claims.ts
@@ -1,4 +1,4 @@
-import type {Claim} from '@bayspool/decisions';
+import type {ClaimRecord} from '@bayspool/decisions';
 import type {Service} from '@bayspool/kernel';
 import type {ClaimKeeper} from './claim_keeper.js';
 
@@ -18,7 +18,7 @@
   constructor(private readonly options: Options) {}
 
   /** Claims a key in the stream of a place. */
-  async claim(place: string, key: string): Promise<Claim> {
+  async claim(place: string, key: string): Promise<ClaimRecord> {
     return (await this.keeperOf(place)).claim(key);
   }
 
--- a/packages/daemon/src/configuration/configuration_follower.ts
+++ b/packages/daemon/src/configuration/configuration_follower.ts
@@ -2,7 +2,7 @@
 import {
   Backoff,
   type Configuration,
-  type Freshness,
+  type LogFreshness,
   type Log,
   type Sealer,
   type Seed,
@@ -18,7 +18,7 @@
 } from '@bayspool/kernel';
 import type {ConfigurationStore} from './configuration_store.js';
 import {configurationStream} from './configuration_stream.js';
-import {RecordReader} from './record_reader.js';
+import {ConfigurationReader} from './configuration_reader.js';
 
 interface Options {
   readonly clock: Clock;
@@ -28,7 +28,7 @@
   readonly log: Log;
   readonly seal: Sealer;
   readonly store: ConfigurationStore;
-  readonly freshness: Freshness;
+  readonly freshness: LogFreshness;
   /** How long one read waits for a record, in ms. */
   readonly pollMs: number;
   /** Planted when the log has never held a record. */
@@ -36,17 +36,17 @@
   readonly onSnapshot: (upTo: number) => void;
 }
 
-const BACKOFF_FIRST_MS = 100;
-const BACKOFF_MOST_MS = 5_000;
-const SEED_DELAY_MS = 200;
+const MIN_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 5_000;
+const MAX_SEED_DELAY_MS = 200;
 
 /** Follows the configuration stream and puts each record in force. */
 export class ConfigurationFollower implements Service {
   readonly name = 'configuration follower';
   private readonly stopping = new AbortController();
-  private readonly reader: RecordReader;
+  private readonly reader: ConfigurationReader;
   private readonly backoff: Backoff;
-  private position = 0;
+  private nextOffset = 0;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
@@ -58,10 +58,10 @@
     );
     this.backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: MIN_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
-    this.reader = new RecordReader({
+    this.reader = new ConfigurationReader({
       seal: options.seal,
       onSnapshot: options.onSnapshot,
       onRefused: (offset, why) => {
@@ -83,7 +83,7 @@
       'configuration_age_seconds',
       'Time since somebody read the log to its end; -1 before.',
       () => {
-        const age = options.freshness.age();
+        const age = options.freshness.computeAgeMs();
         return Number.isFinite(age) ? age / 1_000 : -1;
       },
     );
@@ -99,12 +99,12 @@
   }
 
   /** Takes over a peer's later state and reads on from there; false when it is not later or does not fit. */
-  adopt(state: Configuration): boolean {
+  applyPeerState(state: Configuration): boolean {
     const {store} = this.options;
-    if (state.offset <= store.current.offset || !this.reader.adopted(state))
+    if (state.offset <= store.current.offset || !this.reader.discardCovered(state))
       return false;
-    store.advance(this.reader.foldTail(state));
-    this.position = Math.max(this.position, store.current.offset + 1);
+    store.advance(this.reader.foldPending(state));
+    this.nextOffset = Math.max(this.nextOffset, store.current.offset + 1);
     return true;
   }
 
@@ -123,7 +123,7 @@
         });
         await sleep(
           this.options.clock,
-          this.backoff.next(),
+          this.backoff.nextDelayMs(),
           this.stopping.signal,
         );
       }
@@ -131,7 +131,7 @@
   }
 
   /** Reads the log once, beside the loop, without waiting for a record. */
-  async refresh(timeoutMs: number): Promise<void> {
+  async readOnce(timeoutMs: number): Promise<void> {
     const timeout = timeoutSignal(this.options.clock, timeoutMs);
     try {
       await this.readPage(0, timeout.signal);
@@ -143,39 +143,39 @@
   private async readPage(waitMs: number, signal: AbortSignal): Promise<void> {
     const {clock, log, store, freshness} = this.options;
     const sentAt = clock.now();
-    const from = this.position;
+    const from = this.nextOffset;
     const page = await log.read(configurationStream, from, {waitMs, signal});
     if (page.next < from) {
       this.options.logger.error('the log ends before what was read from it', {
-        position: this.position,
+        position: this.nextOffset,
         next: page.next,
       });
-      await sleep(clock, BACKOFF_MOST_MS, this.stopping.signal);
+      await sleep(clock, MAX_BACKOFF_MS, this.stopping.signal);
       return;
     }
     if (page.next === 0 && !store.isReady) {
-      await this.plantSeed();
+      await this.appendSeed();
       return;
     }
-    if (page.next < this.position) return;
-    const progress = this.reader.read(store.current, this.position, page);
-    this.position = progress.position;
+    if (page.next < this.nextOffset) return;
+    const progress = this.reader.foldPage(store.current, this.nextOffset, page);
+    this.nextOffset = progress.nextOffset;
     store.advance(progress.config);
-    if (!progress.hole && this.position >= page.next) freshness.sawEnd(sentAt);
-    if (progress.hole) await this.waitForPeers();
+    if (!progress.hasGap && this.nextOffset >= page.next) freshness.recordEndRead(sentAt);
+    if (progress.hasGap) await this.backOffAtGap();
   }
 
-  private async waitForPeers(): Promise<void> {
+  private async backOffAtGap(): Promise<void> {
     this.options.logger.warn(
       'records are missing before the oldest one in the log',
-      {position: this.position},
+      {position: this.nextOffset},
     );
-    await sleep(this.options.clock, this.backoff.next(), this.stopping.signal);
+    await sleep(this.options.clock, this.backoff.nextDelayMs(), this.stopping.signal);
   }
 
-  private async plantSeed(): Promise<void> {
+  private async appendSeed(): Promise<void> {
     const {clock, random, log, seal, seed} = this.options;
-    await sleep(clock, SEED_DELAY_MS * random.next(), this.stopping.signal);
+    await sleep(clock, MAX_SEED_DELAY_MS * random.next(), this.stopping.signal);
     if (!seed) return;
     const page = await log.read(configurationStream, 0, {waitMs: 0});
     if (page.next > 0) return;
--- a/packages/daemon/src/configuration/configuration_plugin.ts
+++ b/packages/daemon/src/configuration/configuration_plugin.ts
@@ -10,12 +10,12 @@
 } from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {CatchUp} from '../peers/catch_up.js';
+import {ConfigurationFetcher} from '../peers/configuration_fetcher.js';
 import {peersSection} from '../peers/peers_plugin.js';
 import {ConfigurationFollower} from './configuration_follower.js';
 import {ConfigurationStore} from './configuration_store.js';
-import {IntentFiler} from './intent_filer.js';
-import {Staleness} from './staleness.js';
+import {IntentSubmitter} from './intent_submitter.js';
+import {StalenessGuard} from './staleness_guard.js';
 import {SnapshotWriter} from './snapshot_writer.js';
 
 /** Settings of the configuration that comes from the log. */
@@ -49,10 +49,10 @@
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
     const log = container.get(daemonTokens.log);
-    const seal = container.get(daemonTokens.seals).records;
+    const seal = container.get(daemonTokens.sealers).records;
     const freshness = container.get(daemonTokens.freshness);
     const membership = container.get(daemonTokens.membership);
-    const ownState = container.get(daemonTokens.ownState);
+    const ownState = container.get(daemonTokens.localHostState);
     const store = new ConfigurationStore(clock);
     const snapshots = new SnapshotWriter({
       clock,
@@ -61,7 +61,7 @@
       log,
       seal,
       store,
-      everyMs: section['snapshot-every'],
+      maxAgeMs: section['snapshot-every'],
     });
     const follower = new ConfigurationFollower({
       clock,
@@ -74,9 +74,9 @@
       freshness,
       pollMs: section.poll,
       seed: section.seed ? readSeed(section.seed) : undefined,
-      onSnapshot: () => snapshots.seen(),
+      onSnapshot: () => snapshots.recordSnapshot(),
     });
-    const catchUp = new CatchUp({
+    const catchUp = new ConfigurationFetcher({
       freshness,
       clock,
       random,
@@ -86,27 +86,27 @@
       client: container.get(daemonTokens.peerClient),
       methods: container.get(daemonTokens.peerMethods),
       seeds: settings.one(peersSection).seeds,
-      adopt: state => follower.adopt(state),
-      onAdopted: () => void container.get(daemonTokens.gossip).tellNow(),
+      applyState: state => follower.applyPeerState(state),
+      onApplied: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: settings.one(peersSection).interval,
     });
-    ownState.contribute(() => ({offset: store.current.offset}));
-    store.subscribe(() => membership.mergeEntry(ownState.entry(), true));
-    container.bind(daemonTokens.store).toConstantValue(store);
-    container.bind(daemonTokens.staleness).toConstantValue(
-      new Staleness({
+    ownState.addContributor(() => ({offset: store.current.offset}));
+    store.subscribe(() => membership.mergeState(ownState.createState(), true));
+    container.bind(daemonTokens.configurationStore).toConstantValue(store);
+    container.bind(daemonTokens.stalenessGuard).toConstantValue(
+      new StalenessGuard({
         clock,
         freshness,
-        limitMs: section['fresh-for'],
+        staleAfterMs: section['fresh-for'],
         refreshers: [
-          () => follower.refresh(section['refresh-timeout']),
-          () => catchUp.refresh(),
+          () => follower.readOnce(section['refresh-timeout']),
+          () => catchUp.fetchFromRandomPeer(),
         ],
-        pauseMs: section['refresh-pause'],
+        retryDelayMs: section['refresh-pause'],
       }),
     );
-    container.bind(daemonTokens.filer).toConstantValue(
-      new IntentFiler({
+    container.bind(daemonTokens.intentSubmitter).toConstantValue(
+      new IntentSubmitter({
         clock,
         random,
         logger,
--- a/packages/daemon/src/configuration/record_reader.ts
+++ b/packages/daemon/src/configuration/configuration_reader.ts
@@ -1,7 +1,7 @@
 import {
   ConfigRecord,
   foldRecord,
-  stateDigest,
+  computeStateDigest,
   type Configuration,
   type LogPage,
   type LogRecord,
@@ -20,9 +20,9 @@
 interface Progress {
   readonly config: Configuration;
   /** The offset to read next. */
-  readonly position: number;
+  readonly nextOffset: number;
   /** Whether records are missing between the state and the log's oldest one. */
-  readonly hole: boolean;
+  readonly hasGap: boolean;
 }
 
 /**
@@ -30,39 +30,39 @@
  * expiry before they were read, it goes on from the next snapshot that covers the
  * hole, and keeps the state as it is until then.
  */
-export class RecordReader {
-  private tail: LogRecord[] = [];
+export class ConfigurationReader {
+  private pendingRecords: LogRecord[] = [];
 
   constructor(private readonly options: Options) {}
 
-  read(config: Configuration, position: number, page: LogPage): Progress {
+  foldPage(config: Configuration, position: number, page: LogPage): Progress {
     const fresh = page.records.filter(record => record.offset >= position);
     const next =
       fresh.length > 0
         ? fresh[fresh.length - 1].offset + 1
         : Math.max(position, page.first);
     const contiguous =
-      this.tail.length === 0 &&
+      this.pendingRecords.length === 0 &&
       (fresh[0]?.offset ?? page.first) <= config.offset + 1;
     if (contiguous)
-      return {config: this.foldAll(config, fresh), position: next, hole: false};
-    this.tail.push(...fresh);
-    const restored = this.restore(config);
-    if (!restored) return {config, position: next, hole: true};
-    this.tail = [];
-    return {config: restored, position: next, hole: false};
+      return {config: this.foldAll(config, fresh), nextOffset: next, hasGap: false};
+    this.pendingRecords.push(...fresh);
+    const restored = this.restoreFromSnapshot(config);
+    if (!restored) return {config, nextOffset: next, hasGap: true};
+    this.pendingRecords = [];
+    return {config: restored, nextOffset: next, hasGap: false};
   }
 
   /** The state was replaced by a peer's; what it covers need not be kept. */
-  adopted(config: Configuration): boolean {
-    this.tail = this.tail.filter(record => record.offset > config.offset);
-    return this.tail.length === 0 || this.tail[0].offset === config.offset + 1;
+  discardCovered(config: Configuration): boolean {
+    this.pendingRecords = this.pendingRecords.filter(record => record.offset > config.offset);
+    return this.pendingRecords.length === 0 || this.pendingRecords[0].offset === config.offset + 1;
   }
 
   /** Folds what was kept onto a state that covers everything before it. */
-  foldTail(config: Configuration): Configuration {
-    const folded = this.foldAll(config, this.tail);
-    this.tail = [];
+  foldPending(config: Configuration): Configuration {
+    const folded = this.foldAll(config, this.pendingRecords);
+    this.pendingRecords = [];
     return folded;
   }
 
@@ -77,7 +77,7 @@
   }
 
   private foldOne(config: Configuration, record: LogRecord): Configuration {
-    const parsed = this.parse(record);
+    const parsed = this.decode(record);
     if (!parsed)
       return record.offset > config.offset
         ? {...config, offset: record.offset}
@@ -86,23 +86,23 @@
     return foldRecord(config, record.offset, parsed);
   }
 
-  private restore(config: Configuration): Configuration | undefined {
-    for (const record of [...this.tail].reverse()) {
-      const parsed = this.parse(record);
-      if (parsed?.type !== 'snapshot' || parsed.upTo < this.tail[0].offset - 1)
+  private restoreFromSnapshot(config: Configuration): Configuration | undefined {
+    for (const record of [...this.pendingRecords].reverse()) {
+      const parsed = this.decode(record);
+      if (parsed?.type !== 'snapshot' || parsed.upTo < this.pendingRecords[0].offset - 1)
         continue;
       if (
         parsed.upTo < config.offset ||
-        stateDigest(parsed.state) !== parsed.digest
+        computeStateDigest(parsed.state) !== parsed.digest
       )
         continue;
       this.options.onSnapshot(parsed.upTo);
-      return this.foldAll(parsed.state, this.tail);
+      return this.foldAll(parsed.state, this.pendingRecords);
     }
     return undefined;
   }
 
-  private parse(record: LogRecord): ConfigRecord | undefined {
+  private decode(record: LogRecord): ConfigRecord | undefined {
     const opened = this.options.seal.open(record.value);
     if (opened.isLeft()) {
       this.options.onRefused(record.offset, String(opened.extract()));
--- a/packages/daemon/src/configuration/configuration_store.ts
+++ b/packages/daemon/src/configuration/configuration_store.ts
@@ -1,7 +1,7 @@
 import {
   emptyConfiguration,
   type Configuration,
-  type Verdict,
+  type IntentVerdict,
 } from '@bayspool/decisions';
 import type {Clock} from '@bayspool/kernel';
 
@@ -37,7 +37,7 @@
     return () => this.listeners.delete(listener);
   }
 
-  verdict(intentId: string): Verdict | undefined {
+  findVerdict(intentId: string): IntentVerdict | undefined {
     return this.config.verdicts.find(verdict => verdict.intentId === intentId);
   }
 
@@ -45,18 +45,18 @@
   waitForVerdict(
     intentId: string,
     timeoutMs: number,
-  ): Promise<Verdict | undefined> {
-    const known = this.verdict(intentId);
+  ): Promise<IntentVerdict | undefined> {
+    const known = this.findVerdict(intentId);
     if (known) return Promise.resolve(known);
     return new Promise(resolve => {
-      const finish = (verdict?: Verdict) => {
+      const finish = (verdict?: IntentVerdict) => {
         timer.cancel();
         unsubscribe();
         resolve(verdict);
       };
       const timer = this.clock.after(timeoutMs, () => finish());
       const unsubscribe = this.subscribe(() => {
-        const verdict = this.verdict(intentId);
+        const verdict = this.findVerdict(intentId);
         if (verdict) finish(verdict);
       });
     });
--- a/packages/daemon/src/configuration/intent_filer.ts
+++ b/packages/daemon/src/configuration/intent_submitter.ts
@@ -1,9 +1,9 @@
 import {
   Backoff,
   type Log,
-  type Plan,
+  type IntentPlan,
   type Sealer,
-  type Verdict,
+  type IntentVerdict,
 } from '@bayspool/decisions';
 import {
   sleep,
@@ -25,18 +25,18 @@
   readonly timeoutMs: number;
 }
 
-const BACKOFF_FIRST_MS = 100;
-const BACKOFF_MOST_MS = 1_000;
+const MIN_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 1_000;
 
 /**
  * Appends confirmed plans to the log. The verdict is what is read back; an append
  * whose reply was lost is sent again with the same id, which the fold ignores.
  */
-export class IntentFiler {
+export class IntentSubmitter {
   constructor(private readonly options: Options) {}
 
   /** Gives the verdict, or nothing when the log did not show one in time. */
-  async file(plan: Plan, by: string): Promise<Verdict | undefined> {
+  async submit(plan: IntentPlan, by: string): Promise<IntentVerdict | undefined> {
     const {clock, random, log, seal, store, logger, timeoutMs} = this.options;
     const value = seal.seal({
       type: 'intent',
@@ -48,11 +48,11 @@
     const deadline = clock.now() + timeoutMs;
     const backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: MIN_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
     const verdict = store.waitForVerdict(plan.id, timeoutMs);
-    while (!store.verdict(plan.id) && clock.now() < deadline) {
+    while (!store.findVerdict(plan.id) && clock.now() < deadline) {
       try {
         await log.append(configurationStream, [value]);
         break;
@@ -61,7 +61,7 @@
           intent: plan.id,
           error: String(error),
         });
-        await sleep(clock, backoff.next());
+        await sleep(clock, backoff.nextDelayMs());
       }
     }
     return verdict;
--- a/packages/daemon/src/configuration/snapshot_writer.ts
+++ b/packages/daemon/src/configuration/snapshot_writer.ts
@@ -1,5 +1,5 @@
 import {randomUUID} from 'node:crypto';
-import {stateDigest, type Log, type Sealer} from '@bayspool/decisions';
+import {computeStateDigest, type Log, type Sealer} from '@bayspool/decisions';
 import {
   jitter,
   sleep,
@@ -19,10 +19,10 @@
   readonly seal: Sealer;
   readonly store: ConfigurationStore;
   /** How old the newest snapshot may become, in ms; well inside the log's retention. */
-  readonly everyMs: number;
+  readonly maxAgeMs: number;
 }
 
-const CHECKS_AN_INTERVAL = 10;
+const CHECKS_PER_MAX_AGE = 10;
 
 /**
  * Appends a snapshot when the newest one seen is old. Every host does so after a
@@ -31,16 +31,16 @@
 export class SnapshotWriter implements Service {
   readonly name = 'snapshot writer';
   private readonly stopping = new AbortController();
-  private seenAt: number;
+  private lastSnapshotAt: number;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    this.seenAt = options.clock.now();
+    this.lastSnapshotAt = options.clock.now();
   }
 
   /** A snapshot was read from the log. */
-  seen(): void {
-    this.seenAt = this.options.clock.now();
+  recordSnapshot(): void {
+    this.lastSnapshotAt = this.options.clock.now();
   }
 
   async start(): Promise<void> {
@@ -53,33 +53,33 @@
   }
 
   private async run(): Promise<void> {
-    const {clock, random, everyMs} = this.options;
+    const {clock, random, maxAgeMs: everyMs} = this.options;
     for (;;) {
       await sleep(
         clock,
-        jitter(random, everyMs / CHECKS_AN_INTERVAL),
+        jitter(random, everyMs / CHECKS_PER_MAX_AGE),
         this.stopping.signal,
       );
       if (this.stopping.signal.aborted) return;
       const due =
-        clock.now() - this.seenAt >= everyMs * (1 + random.next() / 2);
-      if (due && this.options.store.isReady) await this.write();
+        clock.now() - this.lastSnapshotAt >= everyMs * (1 + random.next() / 2);
+      if (due && this.options.store.isReady) await this.appendSnapshot();
     }
   }
 
-  private async write(): Promise<void> {
+  private async appendSnapshot(): Promise<void> {
     const {log, seal, store, logger} = this.options;
     const state = store.current;
     const record = {
       type: 'snapshot',
       id: randomUUID(),
       upTo: state.offset,
-      digest: stateDigest(state),
+      digest: computeStateDigest(state),
       state,
     };
     try {
       await log.append(configurationStream, [seal.seal(record)]);
-      this.seen();
+      this.recordSnapshot();
       logger.info('snapshot appended', {upTo: state.offset});
     } catch (error) {
       logger.warn('snapshot append failed', {error: String(error)});
--- a/packages/daemon/src/health_app.ts
+++ b/packages/daemon/src/create_health_router.ts
@@ -1,14 +1,14 @@
 import {Router} from 'express';
 import type {ConfigurationStore} from './configuration/configuration_store.js';
-import type {Leaving} from './leaving/leaving.js';
+import type {LeavingState} from './leaving/leaving_state.js';
 
 interface Options {
   readonly store: ConfigurationStore;
-  readonly leaving: Leaving;
+  readonly leaving: LeavingState;
 }
 
 /** `GET /healthz`: the process runs. `GET /readyz`: it takes new work; the balancer looks here. */
-export function healthApp(options: Options): Router {
+export function createHealthRouter(options: Options): Router {
   const router = Router();
   router.get('/healthz', (_request, response) => {
     response.json({ok: true});
--- a/packages/daemon/src/host/seals.ts
+++ b/packages/daemon/src/host/cluster_sealers.ts
@@ -1,6 +1,6 @@
 import {
-  SessionSeal,
-  TicketSeal,
+  SessionSealer,
+  TicketSealer,
   parseSealKeys,
   Sealer,
 } from '@bayspool/decisions';
@@ -13,19 +13,19 @@
 }
 
 /** The seals that the hosts of a fleet share. */
-export class Seals {
-  readonly sessions: SessionSeal;
-  readonly tickets: TicketSeal;
+export class ClusterSealers {
+  readonly sessions: SessionSealer;
+  readonly tickets: TicketSealer;
   readonly plans: Sealer;
   readonly peers: Sealer;
   readonly records: Sealer;
 
   constructor(options: Options) {
     const cluster = parseSealKeys(options.cluster);
-    this.sessions = new SessionSeal(
+    this.sessions = new SessionSealer(
       new Sealer({keys: parseSealKeys(options.sessions), purpose: 'session'}),
     );
-    this.tickets = new TicketSeal(
+    this.tickets = new TicketSealer(
       new Sealer({keys: cluster, purpose: 'ticket'}),
     );
     this.plans = new Sealer({keys: cluster, purpose: 'plan'});
--- a/packages/daemon/src/host/host_plugin.ts
+++ b/packages/daemon/src/host/host_plugin.ts
@@ -2,7 +2,7 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {Seals} from './seals.js';
+import {ClusterSealers} from './cluster_sealers.js';
 
 const sections = {
   host: {
@@ -40,7 +40,7 @@
   install(container, settings) {
     const host = settings.one(sections.host);
     const clock = container.get(tokens.clock);
-    container.bind(daemonTokens.identity).toConstantValue({
+    container.bind(daemonTokens.hostIdentity).toConstantValue({
       id: host.id,
       place: host.place,
       boot: randomUUID(),
@@ -49,8 +49,8 @@
       peerListen: host['peer-listen'] ?? host['peer-address'],
     });
     container
-      .bind(daemonTokens.seals)
-      .toConstantValue(new Seals(settings.one(sections.secrets)));
+      .bind(daemonTokens.sealers)
+      .toConstantValue(new ClusterSealers(settings.one(sections.secrets)));
   },
 };
 
--- a/packages/daemon/src/http_server.ts
+++ b/packages/daemon/src/http_server.ts
@@ -9,11 +9,11 @@
   readonly endpoint: string;
   /** The setting that names the endpoint, for messages. */
   readonly setting: string;
-  readonly connectionsMost: number;
+  readonly maxConnections: number;
   /** Within which the headers, and the whole request, must have come, in ms. */
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
-  readonly headerBytesMost?: number;
+  readonly maxHeaderBytes?: number;
 }
 
 const KEEP_ALIVE_MS = 30_000;
@@ -28,12 +28,12 @@
         headersTimeout: options.headersTimeoutMs,
         requestTimeout: options.requestTimeoutMs,
         keepAliveTimeout: KEEP_ALIVE_MS,
-        maxHeaderSize: options.headerBytesMost,
+        maxHeaderSize: options.maxHeaderBytes,
         connectionsCheckingInterval: Math.min(1_000, options.headersTimeoutMs),
       },
       options.listener,
     );
-    this.server.maxConnections = options.connectionsMost;
+    this.server.maxConnections = options.maxConnections;
   }
 
   /** Told of requests that could not even be parsed. */
@@ -59,7 +59,7 @@
     const host = endpoint.slice(0, separator).replace(/^\[|\]$/g, '');
     return new Promise((resolve, reject) => {
       this.server.once('error', error =>
-        reject(listenProblem(setting, endpoint, error)),
+        reject(createListenProblem(setting, endpoint, error)),
       );
       this.server.listen(Number(endpoint.slice(separator + 1)), host, () => {
         const {port} = this.server.address() as AddressInfo;
@@ -82,7 +82,7 @@
   }
 }
 
-function listenProblem(
+function createListenProblem(
   setting: string,
   endpoint: string,
   cause: Error,
--- a/packages/daemon/src/leaving/leaving_plugin.ts
+++ b/packages/daemon/src/leaving/leaving_plugin.ts
@@ -1,8 +1,8 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {Leaving} from './leaving.js';
-import {RosterWatcher} from './roster_watcher.js';
+import {LeavingState} from './leaving_state.js';
+import {RosterPoller} from './roster_poller.js';
 
 const leavingSection = {
   name: 'leaving',
@@ -20,19 +20,19 @@
   install(container, settings) {
     const section = settings.one(leavingSection);
     const clock = container.get(tokens.clock);
-    const leaving = new Leaving({
+    const leaving = new LeavingState({
       clock,
-      hostId: container.get(daemonTokens.identity).id,
-      store: container.get(daemonTokens.store),
-      noticeMs: section.notice,
+      hostId: container.get(daemonTokens.hostIdentity).id,
+      store: container.get(daemonTokens.configurationStore),
+      gracePeriodMs: section.notice,
     });
     container
-      .get(daemonTokens.ownState)
-      .contribute(() => ({leaving: leaving.isLeaving()}));
-    container.bind(daemonTokens.leaving).toConstantValue(leaving);
+      .get(daemonTokens.localHostState)
+      .addContributor(() => ({leaving: leaving.isLeaving()}));
+    container.bind(daemonTokens.leavingState).toConstantValue(leaving);
     if (!container.isBound(daemonTokens.roster)) return;
     container.bind(tokens.service).toConstantValue(
-      new RosterWatcher({
+      new RosterPoller({
         clock,
         random: container.get(tokens.random),
         logger: container.get(tokens.logger),
--- a/packages/daemon/src/leaving/leaving.ts
+++ b/packages/daemon/src/leaving/leaving_state.ts
@@ -6,57 +6,57 @@
   readonly hostId: string;
   readonly store: ConfigurationStore;
   /** For how long a leaving host still takes work, so that the balancer sees it first, in ms. */
-  readonly noticeMs: number;
+  readonly gracePeriodMs: number;
 }
 
 /** Whether this host is leaving: told by a signal, by an operator's intent or by the platform's list. */
-export class Leaving {
-  private signalled = false;
-  private listed: ReadonlySet<string> = new Set();
-  private since: number | undefined;
+export class LeavingState {
+  private isShuttingDown = false;
+  private listedIds: ReadonlySet<string> = new Set();
+  private leavingSince: number | undefined;
 
   constructor(private readonly options: Options) {}
 
   /** The process was asked to end. */
-  begin(): void {
-    this.signalled = true;
+  beginShutdown(): void {
+    this.isShuttingDown = true;
     this.update();
   }
 
   /** The platform lists these hosts and runners as leaving. The list lags, so absence means nothing. */
-  list(ids: ReadonlySet<string>): void {
-    this.listed = ids;
+  updateListed(ids: ReadonlySet<string>): void {
+    this.listedIds = ids;
     this.update();
   }
 
   isLeaving(): boolean {
     this.update();
-    return this.since !== undefined;
+    return this.leavingSince !== undefined;
   }
 
   isRunnerLeaving(id: string): boolean {
-    return this.listed.has(id);
+    return this.listedIds.has(id);
   }
 
   /** Whether the notice is over and new work is refused. */
-  refusesWork(): boolean {
+  rejectsNewWork(): boolean {
     return (
       this.isLeaving() &&
-      this.options.clock.now() - this.since! >= this.options.noticeMs
+      this.options.clock.now() - this.leavingSince! >= this.options.gracePeriodMs
     );
   }
 
-  get noticeMs(): number {
-    return this.options.noticeMs;
+  get gracePeriodMs(): number {
+    return this.options.gracePeriodMs;
   }
 
   private update(): void {
     const {clock, hostId, store} = this.options;
     const leaving =
-      this.signalled ||
-      this.listed.has(hostId) ||
+      this.isShuttingDown ||
+      this.listedIds.has(hostId) ||
       Boolean(store.current.drained[`host/${hostId}`]);
-    if (!leaving) this.since = undefined;
-    else this.since ??= clock.now();
+    if (!leaving) this.leavingSince = undefined;
+    else this.leavingSince ??= clock.now();
   }
 }
--- a/packages/daemon/src/leaving/roster_watcher.ts
+++ b/packages/daemon/src/leaving/roster_poller.ts
@@ -7,19 +7,19 @@
   type RandomSource,
   type Service,
 } from '@bayspool/kernel';
-import type {Leaving} from './leaving.js';
+import type {LeavingState} from './leaving_state.js';
 
 interface Options {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly roster: Roster;
-  readonly leaving: Leaving;
+  readonly leaving: LeavingState;
   readonly intervalMs: number;
 }
 
 /** Reads the platform's list of hosts. When it cannot be read, the last one stands. */
-export class RosterWatcher implements Service {
+export class RosterPoller implements Service {
   readonly name = 'roster watcher';
   private readonly stopping = new AbortController();
   private loop: Promise<void> = Promise.resolve();
@@ -38,16 +38,16 @@
   private async run(): Promise<void> {
     const {clock, random, intervalMs} = this.options;
     while (!this.stopping.signal.aborted) {
-      await this.read();
+      await this.poll();
       await sleep(clock, jitter(random, intervalMs), this.stopping.signal);
     }
   }
 
-  private async read(): Promise<void> {
+  private async poll(): Promise<void> {
     const {roster, leaving, logger} = this.options;
     try {
       const entries = await roster.list(this.stopping.signal);
-      leaving.list(
+      leaving.updateListed(
         new Set(entries.filter(entry => entry.leaving).map(entry => entry.id)),
       );
     } catch (error) {
--- a/packages/daemon/src/limits/limits_plugin.ts
+++ b/packages/daemon/src/limits/limits_plugin.ts
@@ -17,14 +17,14 @@
   install(container, settings) {
     const limits = new WorkspaceLimits({
       clock: container.get(tokens.clock),
-      store: container.get(daemonTokens.store),
+      store: container.get(daemonTokens.configurationStore),
       membership: container.get(daemonTokens.membership),
       fleet: settings.one(limitsSection).fleet,
     });
     container
-      .get(daemonTokens.ownState)
-      .contribute(() => ({demand: limits.demand()}));
-    container.bind(daemonTokens.limits).toConstantValue(limits);
+      .get(daemonTokens.localHostState)
+      .addContributor(() => ({demand: limits.demand()}));
+    container.bind(daemonTokens.workspaceLimits).toConstantValue(limits);
   },
 };
 
--- a/packages/daemon/src/limits/workspace_limits.ts
+++ b/packages/daemon/src/limits/workspace_limits.ts
@@ -1,8 +1,8 @@
 import {
-  limitShare,
+  computeLimitShare,
   RateMeter,
   TokenBucket,
-  type Limit,
+  type WorkspaceLimit,
   type Membership,
 } from '@bayspool/decisions';
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
@@ -54,7 +54,7 @@
     );
   }
 
-  private bucketOf(gauge: Gauge, workspace: string, limit: Limit): TokenBucket {
+  private bucketOf(gauge: Gauge, workspace: string, limit: WorkspaceLimit): TokenBucket {
     const {clock} = this.options;
     const now = clock.now();
     if (gauge.bucket && now - gauge.resizedAt < RESIZE_MS) return gauge.bucket;
@@ -70,12 +70,12 @@
   private partOf(gauge: Gauge, workspace: string): number {
     const {membership, fleet} = this.options;
     const ownDemand = gauge.meter.perSecond();
-    const totalDemand = Math.max(membership.demand(workspace), ownDemand);
-    return limitShare({
+    const totalDemand = Math.max(membership.sumDemand(workspace), ownDemand);
+    return computeLimitShare({
       ownDemand,
       totalDemand,
-      living: membership.allHosts().length,
-      fleet,
+      aliveHosts: membership.listAllHosts().length,
+      fleetHosts: fleet,
     });
   }
 
@@ -93,7 +93,7 @@
   }
 }
 
-function limitedProblem(limit: Limit, waitMs: number): Problem {
+function limitedProblem(limit: WorkspaceLimit, waitMs: number): Problem {
   return new Problem({
     kind: ProblemKind.LIMITED,
     what: `the workspace is over its limit of ${limit.requestsPerSecond} requests/s`,
--- a/packages/daemon/src/operators/authenticate_operator.ts
+++ b/packages/daemon/src/operators/authenticate_operator.ts
@@ -1,5 +1,5 @@
 import {timingSafeEqual} from 'node:crypto';
-import {hashKey} from '@bayspool/decisions';
+import {hashAccessKey} from '@bayspool/decisions';
 import type {OperatorKey} from './operator_key.js';
 
 const SCHEME = 'Bearer ';
@@ -10,7 +10,7 @@
   authorization: string | undefined,
 ): string | undefined {
   if (!authorization?.startsWith(SCHEME)) return undefined;
-  const hash = Buffer.from(hashKey(authorization.slice(SCHEME.length)), 'hex');
+  const hash = Buffer.from(hashAccessKey(authorization.slice(SCHEME.length)), 'hex');
   let found: string | undefined;
   for (const key of keys) {
     if (timingSafeEqual(hash, Buffer.from(key.hash, 'hex'))) found = key.name;
--- a/packages/daemon/src/operators/fleet_status.ts
+++ b/packages/daemon/src/operators/create_fleet_status.ts
@@ -1,4 +1,4 @@
-import type {Configuration, Freshness, Membership} from '@bayspool/decisions';
+import type {Configuration, LogFreshness, Membership} from '@bayspool/decisions';
 import type {HostIdentity} from '../host/host_identity.js';
 import type {RunnerPool} from '../runners/runner_pool.js';
 
@@ -6,20 +6,20 @@
   readonly identity: HostIdentity;
   readonly config: Configuration;
   readonly membership: Membership;
-  readonly freshness: Freshness;
+  readonly freshness: LogFreshness;
   readonly pool: RunnerPool;
 }
 
 /** `GET /status`: the fleet as this host sees it. */
-export function fleetStatus(options: Options): object {
+export function createFleetStatus(options: Options): object {
   const {identity, config, membership, freshness, pool} = options;
-  const age = freshness.age();
+  const age = freshness.computeAgeMs();
   return {
     host: identity.id,
     place: identity.place,
     offset: config.offset,
     configuration_age_ms: Number.isFinite(age) ? Math.round(age) : null,
-    places: [membership.ownDigest(), ...membership.digests()].map(digest => ({
+    places: [membership.createOwnDigest(), ...membership.listDigests()].map(digest => ({
       place: digest.place,
       heard_ms_ago: Math.round(digest.ageMs),
       handed_over_to: config.places[digest.place]?.handedOverTo ?? null,
@@ -38,10 +38,10 @@
       steps: version.rollOut?.steps.length ?? null,
       suspect:
         version.suspect ??
-        (membership.suspects().has(version.id)
+        (membership.collectSuspects().has(version.id)
           ? 'held suspect by hosts'
           : null),
-      evidence: membership.evidence(version.id) ?? null,
+      evidence: membership.sumRatings(version.id) ?? null,
     })),
     runners: pool.all().map(state => ({
       id: state.target.id,
--- a/packages/daemon/src/operators/intent_status.ts
+++ b/packages/daemon/src/operators/create_intent_status.ts
@@ -1,19 +1,19 @@
 import {
-  hostsInForce,
+  countHostsAtOffset,
   type Configuration,
   type Membership,
-  type Verdict,
+  type IntentVerdict,
 } from '@bayspool/decisions';
 import type {PlaceProgress} from './place_progress.js';
 
 interface Options {
   readonly config: Configuration;
   readonly membership: Membership;
-  readonly verdict: Verdict;
+  readonly verdict: IntentVerdict;
 }
 
 /** What an operator sees of an intent. */
-interface IntentStatus extends Verdict {
+interface IntentStatus extends IntentVerdict {
   readonly places: readonly PlaceProgress[];
   /** Requests still running that the intent waits for. */
   readonly running: number;
@@ -22,16 +22,16 @@
 }
 
 /** Works out how far an intent has come: where it is in force, what still runs, and what it waits for. */
-export function intentStatus(options: Options): IntentStatus {
+export function createIntentStatus(options: Options): IntentStatus {
   const {config, membership, verdict} = options;
   const places = verdict.accepted
-    ? progressOf(config, membership, verdict.offset)
+    ? createPlaceProgress(config, membership, verdict.offset)
     : [];
-  const running = verdict.accepted ? runningWork(options) : 0;
+  const running = verdict.accepted ? countRunningRequests(options) : 0;
   const waits = [
-    ...places.flatMap(waitsOfPlace),
-    ...waitsOfWork(verdict, running),
-    ...waitsOfRollOut(config, verdict),
+    ...places.flatMap(describePlaceWaits),
+    ...describeRequestWaits(verdict, running),
+    ...describeRolloutWaits(config, verdict),
   ];
   return {
     ...verdict,
@@ -42,14 +42,14 @@
   };
 }
 
-function progressOf(
+function createPlaceProgress(
   config: Configuration,
   membership: Membership,
   offset: number,
 ): PlaceProgress[] {
-  const ages = membership.placeAges();
+  const ages = membership.computePlaceAges();
   const digests = new Map(
-    [membership.ownDigest(), ...membership.digests()].map(digest => [
+    [membership.createOwnDigest(), ...membership.listDigests()].map(digest => [
       digest.place,
       digest,
     ]),
@@ -64,14 +64,14 @@
     return {
       place,
       hosts: hosts.length,
-      hosts_in_force: digest ? hostsInForce(digest, offset) : 0,
+      hosts_in_force: digest ? countHostsAtOffset(digest, offset) : 0,
       heard_ms_ago: Math.round(ages[place] ?? -1),
       cut_off: !digests.has(place),
     };
   });
 }
 
-function waitsOfPlace(progress: PlaceProgress): string[] {
+function describePlaceWaits(progress: PlaceProgress): string[] {
   if (progress.cut_off)
     return [`place ${progress.place} has not been heard of`];
   const behind = progress.hosts - progress.hosts_in_force;
@@ -81,8 +81,8 @@
 }
 
 /** Work that has to finish before a place, host or runner is empty. */
-function runningWork({config, membership, verdict}: Options): number {
-  const digests = [membership.ownDigest(), ...membership.digests()];
+function countRunningRequests({config, membership, verdict}: Options): number {
+  const digests = [membership.createOwnDigest(), ...membership.listDigests()];
   if (
     verdict.kind === 'hand-over-place' &&
     config.places[verdict.subject]?.handedOverTo
@@ -105,13 +105,13 @@
   return 0;
 }
 
-function waitsOfWork(verdict: Verdict, running: number): string[] {
+function describeRequestWaits(verdict: IntentVerdict, running: number): string[] {
   return running > 0
     ? [`${running} running requests at ${verdict.subject} to finish`]
     : [];
 }
 
-function waitsOfRollOut(config: Configuration, verdict: Verdict): string[] {
+function describeRolloutWaits(config: Configuration, verdict: IntentVerdict): string[] {
   if (verdict.kind !== 'roll-out' || !verdict.accepted) return [];
   const version = config.versions[verdict.subject];
   if (version?.suspect !== undefined)
--- a/packages/daemon/src/operators/plan_desk.ts
+++ b/packages/daemon/src/operators/intent_planner.ts
@@ -2,22 +2,22 @@
 import {
   Intent,
   planIntent,
-  type Plan,
+  type IntentPlan,
   type Sealer,
-  type Verdict,
+  type IntentVerdict,
 } from '@bayspool/decisions';
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
 import {z} from 'zod';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import type {IntentFiler} from '../configuration/intent_filer.js';
+import type {IntentSubmitter} from '../configuration/intent_submitter.js';
 
 interface Options {
   readonly clock: Clock;
   readonly store: ConfigurationStore;
   readonly seal: Sealer;
-  readonly filer: IntentFiler;
+  readonly submitter: IntentSubmitter;
   /** How long a plan may be confirmed, in ms. */
-  readonly planLifeMs: number;
+  readonly planTtlMs: number;
 }
 
 /** A plan as the operator gets it; `plan` is what is sent back to confirm it. */
@@ -40,7 +40,7 @@
   readonly reason?: string;
 }
 
-const sealedPlan = z.object({
+const planSchema = z.object({
   id: z.string(),
   intent: Intent.operator,
   steps: z.array(z.string()),
@@ -50,12 +50,12 @@
 });
 
 /** Plans intents and takes confirmations. Plans are sealed, so any host takes the confirmation and none remembers it. */
-export class PlanDesk {
+export class IntentPlanner {
   constructor(private readonly options: Options) {}
 
   plan(raw: unknown): SealedPlan {
-    const {clock, store, seal, planLifeMs} = this.options;
-    if (!store.isReady) throw notReady();
+    const {clock, store, seal, planTtlMs: planLifeMs} = this.options;
+    if (!store.isReady) throw createNotReadyProblem();
     const intent = parseIntent(raw);
     const lapsesAt = clock.wall() + planLifeMs;
     const planned = planIntent({
@@ -64,7 +64,7 @@
       id: randomUUID(),
       lapsesAt,
     });
-    const plan: Plan = planned.caseOf({
+    const plan: IntentPlan = planned.caseOf({
       Left: problem => {
         throw problem;
       },
@@ -82,11 +82,11 @@
   }
 
   async confirm(text: string, operator: string): Promise<Confirmation> {
-    const plan = this.open(text);
-    const known = this.options.store.verdict(plan.id);
+    const plan = this.openPlan(text);
+    const known = this.options.store.findVerdict(plan.id);
     if (known) return toConfirmation(known);
-    if (plan.lapsesAt < this.options.clock.wall()) throw lapsed();
-    const verdict = await this.options.filer.file(plan, operator);
+    if (plan.lapsesAt < this.options.clock.wall()) throw createExpiredPlanProblem();
+    const verdict = await this.options.submitter.submit(plan, operator);
     if (verdict) return toConfirmation(verdict);
     return {
       verdict: 'unknown',
@@ -95,10 +95,10 @@
     };
   }
 
-  private open(text: string): Plan {
+  private openPlan(text: string): IntentPlan {
     const opened = this.options.seal.open(text);
-    const parsed = sealedPlan.safeParse(opened.orDefault(undefined));
-    if (!parsed.success) throw forged();
+    const parsed = planSchema.safeParse(opened.orDefault(undefined));
+    if (!parsed.success) throw createInvalidPlanProblem();
     return parsed.data;
   }
 }
@@ -115,7 +115,7 @@
   });
 }
 
-function toConfirmation(verdict: Verdict): Confirmation {
+function toConfirmation(verdict: IntentVerdict): Confirmation {
   return {
     verdict: verdict.accepted ? 'accepted' : 'rejected',
     id: verdict.intentId,
@@ -125,7 +125,7 @@
   };
 }
 
-function notReady(): Problem {
+function createNotReadyProblem(): Problem {
   return new Problem({
     kind: ProblemKind.NOT_READY,
     what: 'this host has no configuration yet',
@@ -134,7 +134,7 @@
   });
 }
 
-function lapsed(): Problem {
+function createExpiredPlanProblem(): Problem {
   return new Problem({
     kind: ProblemKind.CONFLICT,
     what: 'the plan has lapsed',
@@ -142,7 +142,7 @@
   });
 }
 
-function forged(): Problem {
+function createInvalidPlanProblem(): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: 'the plan is not one that this fleet made, or it was altered',
--- a/packages/daemon/src/operators/operator_door.ts
+++ b/packages/daemon/src/operators/operator_server.ts
@@ -1,5 +1,5 @@
 import {randomUUID} from 'node:crypto';
-import type {Freshness, Membership} from '@bayspool/decisions';
+import type {LogFreshness, Membership} from '@bayspool/decisions';
 import {
   Problem,
   ProblemKind,
@@ -16,16 +16,16 @@
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
 import {errorAnswer} from '../callers/error_answer.js';
 import {sendAnswer} from '../callers/send_answer.js';
-import {healthApp} from '../health_app.js';
+import {createHealthRouter} from '../create_health_router.js';
 import type {HostIdentity} from '../host/host_identity.js';
 import {HttpServer} from '../http_server.js';
-import type {Leaving} from '../leaving/leaving.js';
+import type {LeavingState} from '../leaving/leaving_state.js';
 import type {RunnerPool} from '../runners/runner_pool.js';
 import {authenticateOperator} from './authenticate_operator.js';
-import {fleetStatus} from './fleet_status.js';
-import {intentStatus} from './intent_status.js';
+import {createFleetStatus} from './create_fleet_status.js';
+import {createIntentStatus} from './create_intent_status.js';
 import type {OperatorKey} from './operator_key.js';
-import type {PlanDesk} from './plan_desk.js';
+import type {IntentPlanner} from './intent_planner.js';
 
 interface Options {
   readonly endpoint: string;
@@ -34,20 +34,20 @@
   readonly identity: HostIdentity;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly freshness: Freshness;
-  readonly leaving: Leaving;
+  readonly freshness: LogFreshness;
+  readonly leaving: LeavingState;
   readonly pool: RunnerPool;
-  readonly desk: PlanDesk;
+  readonly planner: IntentPlanner;
   readonly keys: readonly OperatorKey[];
 }
 
-const BODY_MOST = '1mb';
-const CONNECTIONS_MOST = 500;
+const MAX_BODY_SIZE = '1mb';
+const MAX_CONNECTIONS = 500;
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
 /** Where operators file intents and look at the fleet. Callers' keys open nothing here. */
-export class OperatorDoor implements Service {
+export class OperatorServer implements Service {
   readonly name = 'operator door';
   private readonly server: HttpServer;
 
@@ -56,7 +56,7 @@
       listener: this.createApp(),
       endpoint: options.endpoint,
       setting: '[operators] listen',
-      connectionsMost: CONNECTIONS_MOST,
+      maxConnections: MAX_CONNECTIONS,
       headersTimeoutMs: HEADERS_TIMEOUT_MS,
       requestTimeoutMs: REQUEST_TIMEOUT_MS,
     });
@@ -78,18 +78,18 @@
     const app = express();
     app.disable('x-powered-by');
     app.disable('etag');
-    app.use(healthApp(options));
+    app.use(createHealthRouter(options));
     app.get('/metrics', async (_request, response) => {
       response
         .type('text/plain; version=0.0.4')
         .send(await options.metrics.registry.metrics());
     });
-    app.use((request, response, next) => this.admit(request, response, next));
-    app.use(express.json({limit: BODY_MOST, strict: false}));
-    this.addIntents(app);
-    this.addViews(app);
+    app.use((request, response, next) => this.authenticate(request, response, next));
+    app.use(express.json({limit: MAX_BODY_SIZE, strict: false}));
+    this.addIntentRoutes(app);
+    this.addStatusRoutes(app);
     app.use(() => {
-      throw notFound('there is nothing at this path');
+      throw createNotFoundProblem('there is nothing at this path');
     });
     app.use(
       (
@@ -98,13 +98,13 @@
         response: Response,
         _next: NextFunction,
       ) => {
-        void sendAnswer(response, errorAnswer(readable(error), randomUUID()));
+        void sendAnswer(response, errorAnswer(translateBodyError(error), randomUUID()));
       },
     );
     return app;
   }
 
-  private admit(
+  private authenticate(
     request: Request,
     response: Response,
     next: NextFunction,
@@ -113,13 +113,13 @@
       this.options.keys,
       request.headers.authorization,
     );
-    if (operator === undefined) throw unauthorized();
+    if (operator === undefined) throw createUnauthorizedProblem();
     response.locals.operator = operator;
     next();
   }
 
-  private addIntents(app: Express): void {
-    const {desk, store, membership, logger} = this.options;
+  private addIntentRoutes(app: Express): void {
+    const {planner: desk, store, membership, logger} = this.options;
     app.post('/intents', (request, response) => {
       response.status(201).json(desk.plan(request.body));
     });
@@ -136,23 +136,23 @@
       response.json({intents: [...store.current.verdicts].reverse()});
     });
     app.get('/intents/:id', (request, response) => {
-      const verdict = store.verdict(request.params.id);
+      const verdict = store.findVerdict(request.params.id);
       if (!verdict)
-        throw notFound(
+        throw createNotFoundProblem(
           'no intent with this id was read from the log; it may still come',
         );
-      response.json(intentStatus({config: store.current, membership, verdict}));
+      response.json(createIntentStatus({config: store.current, membership, verdict}));
     });
   }
 
-  private addViews(app: Express): void {
+  private addStatusRoutes(app: Express): void {
     const {identity, store, membership, freshness, pool} = this.options;
     app.get('/config', (_request, response) => {
       response.json(store.current);
     });
     app.get('/status', (_request, response) => {
       response.json(
-        fleetStatus({
+        createFleetStatus({
           identity,
           config: store.current,
           membership,
@@ -164,7 +164,7 @@
   }
 }
 
-function unauthorized(): Problem {
+function createUnauthorizedProblem(): Problem {
   return new Problem({
     kind: ProblemKind.UNAUTHORIZED,
     what: 'the operator key is missing or not known',
@@ -173,7 +173,7 @@
   });
 }
 
-function notFound(what: string): Problem {
+function createNotFoundProblem(what: string): Problem {
   return new Problem({
     kind: ProblemKind.NOT_FOUND,
     what,
@@ -181,7 +181,7 @@
   });
 }
 
-function readable(error: Error & {status?: number}): unknown {
+function translateBodyError(error: Error & {status?: number}): unknown {
   if (
     error instanceof Problem ||
     error.status === undefined ||
--- a/packages/daemon/src/operators/operators_plugin.ts
+++ b/packages/daemon/src/operators/operators_plugin.ts
@@ -1,8 +1,8 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {OperatorDoor} from './operator_door.js';
-import {PlanDesk} from './plan_desk.js';
+import {OperatorServer} from './operator_server.js';
+import {IntentPlanner} from './intent_planner.js';
 
 const sections = {
   operators: {
@@ -39,28 +39,28 @@
     const keys = [...settings.all(sections.operator)].map(
       ([name, operator]) => ({name, hash: operator['key-hash']}),
     );
-    const store = container.get(daemonTokens.store);
-    const desk = new PlanDesk({
+    const store = container.get(daemonTokens.configurationStore);
+    const desk = new IntentPlanner({
       store,
       clock: container.get(tokens.clock),
-      seal: container.get(daemonTokens.seals).plans,
-      filer: container.get(daemonTokens.filer),
-      planLifeMs: section['plan-life'],
+      seal: container.get(daemonTokens.sealers).plans,
+      submitter: container.get(daemonTokens.intentSubmitter),
+      planTtlMs: section['plan-life'],
     });
-    container.bind(daemonTokens.planDesk).toConstantValue(desk);
+    container.bind(daemonTokens.intentPlanner).toConstantValue(desk);
     container.bind(tokens.service).toConstantValue(
-      new OperatorDoor({
+      new OperatorServer({
         endpoint: section.listen,
         keys,
-        desk,
+        planner: desk,
         store,
         logger: container.get(tokens.logger),
         metrics: container.get(tokens.metrics),
-        identity: container.get(daemonTokens.identity),
+        identity: container.get(daemonTokens.hostIdentity),
         membership: container.get(daemonTokens.membership),
         freshness: container.get(daemonTokens.freshness),
-        leaving: container.get(daemonTokens.leaving),
-        pool: container.get(daemonTokens.pool),
+        leaving: container.get(daemonTokens.leavingState),
+        pool: container.get(daemonTokens.runnerPool),
       }),
     );
   },
--- a/packages/daemon/src/orders/order_keeper.ts
+++ b/packages/daemon/src/orders/order_dispatcher.ts
@@ -37,24 +37,24 @@
 }
 
 const MINUTE_MS = 60_000;
-const ORDERS_REMEMBERED = 10_000;
+const MAX_REMEMBERED_ORDERS = 10_000;
 
 /**
  * Gives the orders of this place while it holds the place's lease. Orders follow
  * from the configuration and the runners' reports; loads keep to this place's part
  * of the weight store's rate.
  */
-export class OrderKeeper implements Service {
+export class OrderDispatcher implements Service {
   readonly name = 'order keeper';
   private readonly stopping = new AbortController();
-  private readonly orders: Counter<'desired' | 'result'>;
+  private readonly ordersTotal: Counter<'desired' | 'result'>;
   /** When each load may start, on the local clock: the rate's spacing. */
   private nextLoadAt = -Infinity;
-  private readonly ordered = new Map<string, number>();
+  private readonly lastSentAt = new Map<string, number>();
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    this.orders = options.metrics.counter(
+    this.ordersTotal = options.metrics.counter(
       'orders_total',
       'Orders given to runners.',
       ['desired', 'result'],
@@ -63,7 +63,7 @@
     options.metrics.observe(
       'lease_held',
       'Whether this host holds the lease of its place.',
-      () => (lease.held() === undefined ? 0 : 1),
+      () => (lease.heldToken() === undefined ? 0 : 1),
     );
   }
 
@@ -83,15 +83,15 @@
       await sleep(clock, jitter(random, intervalMs), this.stopping.signal);
       if (this.stopping.signal.aborted) return;
       try {
-        await lease.tick();
-        if (lease.held() !== undefined) await this.giveOrders();
+        await lease.renewOrAcquire();
+        if (lease.heldToken() !== undefined) await this.sendDueOrders();
       } catch (error) {
         logger.debug('lease not kept', {error: String(error)});
       }
     }
   }
 
-  private async giveOrders(): Promise<void> {
+  private async sendDueOrders(): Promise<void> {
     const {store, pool, identity} = this.options;
     const states = pool
       .all()
@@ -111,26 +111,26 @@
       const state = states.find(
         candidate => candidate.target.id === order.runner,
       )!;
-      if (await this.mayGive(order)) await this.give(order, state);
+      if (await this.reserveSend(order)) await this.sendOrder(order, state);
     }
   }
 
-  private async mayGive(order: PlannedOrder): Promise<boolean> {
+  private async reserveSend(order: PlannedOrder): Promise<boolean> {
     const {clock} = this.options;
     const key = `${order.runner} ${order.version} ${order.desired}`;
-    const givenAt = this.ordered.get(key) ?? -Infinity;
+    const givenAt = this.lastSentAt.get(key) ?? -Infinity;
     if (clock.now() - givenAt < MINUTE_MS) return false;
     if (order.desired === 'loaded') {
       if (clock.now() < this.nextLoadAt) return false;
-      this.nextLoadAt = clock.now() + (await this.loadSpacingMs());
+      this.nextLoadAt = clock.now() + (await this.computeLoadSpacingMs());
     }
-    this.ordered.set(key, clock.now());
-    if (this.ordered.size > ORDERS_REMEMBERED) this.ordered.clear();
+    this.lastSentAt.set(key, clock.now());
+    if (this.lastSentAt.size > MAX_REMEMBERED_ORDERS) this.lastSentAt.clear();
     return true;
   }
 
   /** The time between two loads of this place, so that all places together keep to the store's rate. */
-  private async loadSpacingMs(): Promise<number> {
+  private async computeLoadSpacingMs(): Promise<number> {
     const {weights, store, orderTimeoutMs} = this.options;
     if (!weights) return 0;
     const places = Math.max(1, Object.keys(store.current.places).length);
@@ -140,20 +140,20 @@
     return (MINUTE_MS / rate) * places;
   }
 
-  private async give(
+  private async sendOrder(
     order: PlannedOrder,
     state: TargetState<Runner>,
   ): Promise<void> {
     const {lease, logger, orderTimeoutMs} = this.options;
-    const fencingToken = lease.held();
+    const fencingToken = lease.heldToken();
     if (fencingToken === undefined) return;
     const {version, desired} = order;
     try {
-      await state.target.order(
+      await state.target.sendOrder(
         {version, desired, fencingToken},
         timeoutSignal(this.options.clock, orderTimeoutMs).signal,
       );
-      this.orders.inc({desired, result: 'ok'});
+      this.ordersTotal.inc({desired, result: 'ok'});
       logger.info('order given', {
         runner: order.runner,
         version,
@@ -161,7 +161,7 @@
         fencingToken,
       });
     } catch (error) {
-      this.orders.inc({desired, result: 'failed'});
+      this.ordersTotal.inc({desired, result: 'failed'});
       logger.warn('order failed', {
         runner: order.runner,
         version,
--- a/packages/daemon/src/orders/orders_plugin.ts
+++ b/packages/daemon/src/orders/orders_plugin.ts
@@ -1,7 +1,7 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {OrderKeeper} from './order_keeper.js';
+import {OrderDispatcher} from './order_dispatcher.js';
 import {PlaceLease} from './place_lease.js';
 
 const ordersSection = {
@@ -23,25 +23,25 @@
     const section = settings.one(ordersSection);
     const clock = container.get(tokens.clock);
     const logger = container.get(tokens.logger);
-    const identity = container.get(daemonTokens.identity);
+    const identity = container.get(daemonTokens.hostIdentity);
     const lease = new PlaceLease({
       clock,
       logger,
       identity,
       log: container.get(daemonTokens.log),
-      seal: container.get(daemonTokens.seals).records,
+      seal: container.get(daemonTokens.sealers).records,
       ttlMs: section.lease,
     });
     container.bind(tokens.service).toConstantValue(
-      new OrderKeeper({
+      new OrderDispatcher({
         clock,
         logger,
         identity,
         lease,
         random: container.get(tokens.random),
         metrics: container.get(tokens.metrics),
-        store: container.get(daemonTokens.store),
-        pool: container.get(daemonTokens.pool),
+        store: container.get(daemonTokens.configurationStore),
+        pool: container.get(daemonTokens.runnerPool),
         weights: container.isBound(daemonTokens.weights)
           ? container.get(daemonTokens.weights)
           : undefined,
--- a/packages/daemon/src/orders/place_lease.test.ts
+++ b/packages/daemon/src/orders/place_lease.test.ts
@@ -17,7 +17,7 @@
   debug: () => undefined,
 };
 
-function leaseOf(id: string, clock: VirtualClock, log: Log): PlaceLease {
+function createLease(id: string, clock: VirtualClock, log: Log): PlaceLease {
   const identity = {
     id,
     place: 'hall-a',
@@ -32,13 +32,13 @@
 void test('one of two holds the lease, and the other takes it with a higher token only after the first has stopped', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
-  const one = leaseOf('one', clock, log);
-  const two = leaseOf('two', clock, log);
-  await one.tick();
-  await two.tick();
-  const first = one.held();
+  const one = createLease('one', clock, log);
+  const two = createLease('two', clock, log);
+  await one.renewOrAcquire();
+  await two.renewOrAcquire();
+  const first = one.heldToken();
   assert.notEqual(first, undefined);
-  assert.equal(two.held(), undefined);
+  assert.equal(two.heldToken(), undefined);
   let taken: number | undefined;
   for (
     let waited = 0;
@@ -46,10 +46,10 @@
     waited += 500
   ) {
     clock.advance(500);
-    await two.tick();
-    taken = two.held();
+    await two.renewOrAcquire();
+    taken = two.heldToken();
     assert.ok(
-      taken === undefined || one.held() === undefined,
+      taken === undefined || one.heldToken() === undefined,
       'never two holders at once',
     );
   }
@@ -59,17 +59,17 @@
 void test('a holder that was paused longer than its lease holds nothing when it wakes, and its old token is lower', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
-  const paused = leaseOf('paused', clock, log);
-  const other = leaseOf('other', clock, log);
-  await paused.tick();
-  const before = paused.held()!;
-  await other.tick();
+  const paused = createLease('paused', clock, log);
+  const other = createLease('other', clock, log);
+  await paused.renewOrAcquire();
+  const before = paused.heldToken()!;
+  await other.renewOrAcquire();
   clock.advance(TTL_MS + 1);
-  assert.equal(paused.held(), undefined);
-  await other.tick();
-  await paused.tick();
-  assert.equal(paused.held(), undefined);
-  assert.ok(other.held()! > before);
+  assert.equal(paused.heldToken(), undefined);
+  await other.renewOrAcquire();
+  await paused.renewOrAcquire();
+  assert.equal(paused.heldToken(), undefined);
+  assert.ok(other.heldToken()! > before);
 });
 
 /** A log whose append takes long, as when the request hangs on its way. */
@@ -98,20 +98,20 @@
 void test('the time of a lease counts from before the append was sent', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
-  const slow = leaseOf('slow', clock, new SlowLog(log, clock, TTL_MS));
-  await slow.tick();
-  assert.equal(slow.held(), undefined);
+  const slow = createLease('slow', clock, new SlowLog(log, clock, TTL_MS));
+  await slow.renewOrAcquire();
+  assert.equal(slow.heldToken(), undefined);
 });
 
 void test('a lease that was given up is taken at once', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
-  const one = leaseOf('one', clock, log);
-  const two = leaseOf('two', clock, log);
-  await one.tick();
-  await two.tick();
+  const one = createLease('one', clock, log);
+  const two = createLease('two', clock, log);
+  await one.renewOrAcquire();
+  await two.renewOrAcquire();
   await one.release();
   clock.advance(1);
-  await two.tick();
-  assert.notEqual(two.held(), undefined);
+  await two.renewOrAcquire();
+  assert.notEqual(two.heldToken(), undefined);
 });
--- a/packages/daemon/src/peers/catch_up.ts
+++ b/packages/daemon/src/peers/configuration_fetcher.ts
@@ -1,7 +1,7 @@
 import {
-  stateDigest,
+  computeStateDigest,
   type Configuration,
-  type Freshness,
+  type LogFreshness,
   type Membership,
 } from '@bayspool/decisions';
 import {
@@ -16,30 +16,30 @@
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
 import {ConfigurationReply} from './configuration_reply.js';
 import type {PeerClient} from './peer_client.js';
-import type {PeerMethods} from './peer_methods.js';
+import type {PeerMethodRegistry} from './peer_method_registry.js';
 
 interface Options {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly store: ConfigurationStore;
-  readonly freshness: Freshness;
+  readonly freshness: LogFreshness;
   readonly membership: Membership;
   readonly client: PeerClient;
-  readonly methods: PeerMethods;
+  readonly methods: PeerMethodRegistry;
   readonly seeds: readonly string[];
   /** Puts a peer's state in force. */
-  readonly adopt: (state: Configuration) => boolean;
+  readonly applyState: (state: Configuration) => boolean;
   /** Told after a peer's state was put in force. */
-  readonly onAdopted: () => void;
+  readonly onApplied: () => void;
   /** How often the peers' offsets are compared with the own one, in ms. */
   readonly intervalMs: number;
 }
 
-const METHOD = 'configuration.fetch';
+const FETCH_METHOD = 'configuration.fetch';
 
 /** Gets the configuration from a peer that is ahead, when the log does not bring it. */
-export class CatchUp implements Service {
+export class ConfigurationFetcher implements Service {
   readonly name = 'catch up';
   private readonly stopping = new AbortController();
   private behindSince: number | undefined;
@@ -47,15 +47,15 @@
 
   constructor(private readonly options: Options) {
     const {methods, store, freshness} = options;
-    methods.add(
-      METHOD,
+    methods.register(
+      FETCH_METHOD,
       z.strictObject({after: z.int()}),
       ({after}): ConfigurationReply => {
-        const age = freshness.age();
+        const age = freshness.computeAgeMs();
         const freshnessMs = Number.isFinite(age) ? age : undefined;
         if (store.current.offset <= after) return {freshnessMs};
         const state = store.current;
-        return {state, digest: stateDigest(state), freshnessMs};
+        return {state, digest: computeStateDigest(state), freshnessMs};
       },
     );
   }
@@ -70,9 +70,9 @@
   }
 
   /** Asks a peer once for its configuration. */
-  async refresh(): Promise<void> {
+  async fetchFromRandomPeer(): Promise<void> {
     const {membership, random} = this.options;
-    const peers = membership.companions();
+    const peers = membership.listAvailablePeers();
     if (peers.length > 0)
       await this.fetch(peers[random.below(peers.length)].address);
   }
@@ -81,13 +81,13 @@
     const {clock, random, intervalMs} = this.options;
     while (!this.stopping.signal.aborted) {
       await sleep(clock, jitter(random, intervalMs), this.stopping.signal);
-      if (!this.stopping.signal.aborted) await this.check();
+      if (!this.stopping.signal.aborted) await this.fetchIfBehind();
     }
   }
 
-  private async check(): Promise<void> {
+  private async fetchIfBehind(): Promise<void> {
     const {clock, store, random} = this.options;
-    const ahead = this.addressesAhead();
+    const ahead = this.listAddressesAhead();
     if (ahead.length === 0) {
       this.behindSince = undefined;
       return;
@@ -98,9 +98,9 @@
     await this.fetch(ahead[random.below(ahead.length)]);
   }
 
-  private addressesAhead(): string[] {
+  private listAddressesAhead(): string[] {
     const {store, membership, seeds} = this.options;
-    const ahead = membership.addressesAhead(store.current.offset);
+    const ahead = membership.listAddressesAhead(store.current.offset);
     if (ahead.length > 0) return ahead;
     return store.isReady ? [] : [...seeds];
   }
@@ -111,14 +111,14 @@
     const after = store.current.offset;
     try {
       const reply = ConfigurationReply.parse(
-        await client.call(address, METHOD, {after}),
+        await client.call(address, FETCH_METHOD, {after}),
       );
-      if (reply.state) this.take(reply.state, reply.digest, address);
+      if (reply.state) this.applyPeerState(reply.state, reply.digest, address);
       const isLevel = reply.state
         ? store.current.offset >= reply.state.offset
         : true;
       if (reply.freshnessMs !== undefined && isLevel)
-        this.options.freshness.heardAge(reply.freshnessMs, sentAt);
+        this.options.freshness.recordPeerAge(reply.freshnessMs, sentAt);
     } catch (error) {
       logger.debug('configuration not fetched', {
         address,
@@ -127,13 +127,13 @@
     }
   }
 
-  private take(
+  private applyPeerState(
     state: Configuration,
     digest: string | undefined,
     address: string,
   ): void {
-    if (stateDigest(state) !== digest || !this.options.adopt(state)) return;
-    this.options.onAdopted();
+    if (computeStateDigest(state) !== digest || !this.options.applyState(state)) return;
+    this.options.onApplied();
     this.options.logger.info('configuration taken from a peer', {
       address,
       offset: state.offset,
--- a/packages/daemon/src/peers/gossip.ts
+++ b/packages/daemon/src/peers/gossip.ts
@@ -1,10 +1,10 @@
 import {
-  DigestCourier,
-  type Freshness,
-  type HostEntry,
+  DigestDeltaTracker,
+  type LogFreshness,
+  type HostState,
   type HostSummary,
   type Membership,
-  type PlaceNews,
+  type PlaceDigestDelta,
 } from '@bayspool/decisions';
 import {
   jitter,
@@ -17,9 +17,9 @@
 } from '@bayspool/kernel';
 import type {HostIdentity} from '../host/host_identity.js';
 import {GossipMessage} from './gossip_message.js';
-import type {OwnState} from './own_state.js';
+import type {LocalHostState} from './local_host_state.js';
 import type {PeerClient} from './peer_client.js';
-import type {PeerMethods} from './peer_methods.js';
+import type {PeerMethodRegistry} from './peer_method_registry.js';
 
 interface Options {
   readonly clock: Clock;
@@ -27,11 +27,11 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly identity: HostIdentity;
-  readonly ownState: OwnState;
+  readonly localHostState: LocalHostState;
   readonly membership: Membership;
-  readonly freshness: Freshness;
+  readonly freshness: LogFreshness;
   readonly client: PeerClient;
-  readonly methods: PeerMethods;
+  readonly methods: PeerMethodRegistry;
   /** Peer addresses to begin with, of any place. */
   readonly seeds: readonly string[];
   /** Between two rounds inside the place, in ms. */
@@ -42,10 +42,10 @@
   readonly relayIntervalMs: number;
 }
 
-const METHOD = 'gossip.exchange';
+const EXCHANGE_METHOD = 'gossip.exchange';
 const RELAY_FANOUT = 2;
 /** Rounds of relays after which a place's age is passed on although nothing else changed. */
-const AGE_ROUNDS = 4;
+const AGE_REPORT_ROUNDS = 4;
 
 /**
  * Heartbeats. Inside the place each host calls the others in turn, in an order
@@ -57,56 +57,56 @@
   readonly name = 'gossip';
   private readonly stopping = new AbortController();
   private readonly loops: Promise<void>[] = [];
-  private readonly courier: DigestCourier;
+  private readonly deltaTracker: DigestDeltaTracker;
   /** Places of which this host was sent a part by name only that it does not have. */
-  private readonly lacking = new Set<string>();
-  private order: string[] = [];
+  private readonly incompletePlaces = new Set<string>();
+  private callQueue: string[] = [];
 
   constructor(private readonly options: Options) {
-    options.methods.add(METHOD, GossipMessage, message =>
+    options.methods.register(EXCHANGE_METHOD, GossipMessage, message =>
       this.receive(message),
     );
     const {membership, clock} = options;
-    this.courier = new DigestCourier({
+    this.deltaTracker = new DigestDeltaTracker({
       clock,
-      pauseMs: options.relayIntervalMs / 2,
-      agePauseMs: options.relayIntervalMs * AGE_ROUNDS,
+      minIntervalMs: options.relayIntervalMs / 2,
+      ageOnlyIntervalMs: options.relayIntervalMs * AGE_REPORT_ROUNDS,
     });
     options.metrics.observe(
       'members_living',
       'Hosts of this place taken to be alive.',
-      () => membership.living().length,
+      () => membership.listAlive().length,
     );
     options.metrics.observe(
       'places_heard',
       'Other places with a fresh digest.',
-      () => membership.digests().length,
+      () => membership.listDigests().length,
     );
   }
 
   async start(): Promise<void> {
-    this.noteSelf();
-    await this.callSeeds();
+    this.updateOwnState();
+    await this.exchangeWithSeeds();
     this.loops.push(
-      this.every(this.options.intervalMs, () => this.roundInside()),
+      this.runEvery(this.options.intervalMs, () => this.exchangeWithinPlace()),
     );
     this.loops.push(
-      this.every(this.options.relayIntervalMs, () => this.roundOutside()),
+      this.runEvery(this.options.relayIntervalMs, () => this.exchangeAcrossPlaces()),
     );
   }
 
   async stop(): Promise<void> {
     this.stopping.abort();
     await Promise.all(this.loops);
-    await this.roundInside();
+    await this.exchangeWithinPlace();
   }
 
   /** Tells others at once: something changed that cannot wait for the next round. */
-  async tellNow(): Promise<void> {
-    await Promise.all([this.roundInside(), this.roundOutside()]);
+  async runNow(): Promise<void> {
+    await Promise.all([this.exchangeWithinPlace(), this.exchangeAcrossPlaces()]);
   }
 
-  private async every(
+  private async runEvery(
     intervalMs: number,
     round: () => Promise<void>,
   ): Promise<void> {
@@ -117,24 +117,24 @@
     }
   }
 
-  private async roundInside(): Promise<void> {
-    this.noteSelf();
-    const targets = this.nextTargets();
-    if (targets.length === 0) await this.callSeeds();
+  private async exchangeWithinPlace(): Promise<void> {
+    this.updateOwnState();
+    const targets = this.pickTargets();
+    if (targets.length === 0) await this.exchangeWithSeeds();
     await Promise.all(
       targets.map(target => this.exchange(target.address, target.id)),
     );
   }
 
-  private async roundOutside(): Promise<void> {
+  private async exchangeAcrossPlaces(): Promise<void> {
     const {membership} = this.options;
     if (!membership.isRelay()) return;
-    const places = this.draw(membership.otherPlaces(), RELAY_FANOUT);
+    const places = this.sample(membership.listOtherPlaces(), RELAY_FANOUT);
     const targets = places.flatMap(place =>
-      this.draw(membership.relaysOf(place), 1),
+      this.sample(membership.listRelays(place), 1),
     );
     const missing =
-      targets.length === 0 ? this.draw(this.options.seeds, 1) : [];
+      targets.length === 0 ? this.sample(this.options.seeds, 1) : [];
     await Promise.all([
       ...targets.map((target: HostSummary) =>
         this.exchange(target.address, target.id),
@@ -143,29 +143,29 @@
     ]);
   }
 
-  private nextTargets(): HostEntry[] {
+  private pickTargets(): HostState[] {
     const {membership, identity, fanout} = this.options;
-    const others = membership.known().filter(entry => entry.id !== identity.id);
-    const targets: HostEntry[] = [];
+    const others = membership.listKnown().filter(entry => entry.id !== identity.id);
+    const targets: HostState[] = [];
     while (targets.length < Math.min(fanout, others.length)) {
-      if (this.order.length === 0)
-        this.order = this.draw(
+      if (this.callQueue.length === 0)
+        this.callQueue = this.sample(
           others.map(entry => entry.id),
           others.length,
         );
-      const id = this.order.pop();
+      const id = this.callQueue.pop();
       const target = others.find(entry => entry.id === id);
       if (target && !targets.includes(target)) targets.push(target);
     }
     return targets;
   }
 
-  private async callSeeds(): Promise<void> {
+  private async exchangeWithSeeds(): Promise<void> {
     const seeds = this.options.seeds.filter(
       address => address !== this.options.identity.peerAddress,
     );
     await Promise.all(
-      this.draw(seeds, seeds.length).map(address =>
+      this.sample(seeds, seeds.length).map(address =>
         this.exchange(address, address),
       ),
     );
@@ -176,79 +176,79 @@
     const sentAt = clock.now();
     try {
       const reply = GossipMessage.parse(
-        await client.call(address, METHOD, this.compose(receiver)),
+        await client.call(address, EXCHANGE_METHOD, this.createMessage(receiver)),
       );
-      this.take(reply, sentAt);
+      this.merge(reply, sentAt);
     } catch (error) {
-      this.courier.forget(receiver);
+      this.deltaTracker.forgetPeer(receiver);
       logger.debug('peer not reached', {address, error: String(error)});
     }
   }
 
   private receive(message: GossipMessage): GossipMessage {
-    this.noteSelf();
-    this.take(message, this.options.clock.now());
-    return this.compose(message.from.id, message.isNew);
+    this.updateOwnState();
+    this.merge(message, this.options.clock.now());
+    return this.createMessage(message.from.id, message.isNew);
   }
 
-  private take(message: GossipMessage, sentAt: number): void {
-    const {membership, freshness, identity, ownState} = this.options;
+  private merge(message: GossipMessage, sentAt: number): void {
+    const {membership, freshness, identity, localHostState: ownState} = this.options;
     if (message.from.id === identity.id) return;
-    membership.mergeEntry(message.from, true);
+    membership.mergeState(message.from, true);
     for (const entry of message.others) {
       if (entry.id === identity.id)
-        ownState.outlive(
+        ownState.raiseIncarnationAbove(
           entry.incarnation - (entry.boot === identity.boot ? 1 : 0),
         );
-      else membership.mergeEntry(entry, false);
+      else membership.mergeState(entry, false);
     }
-    this.takeNews(message);
-    const isBehind = ownState.entry().offset < message.from.offset;
+    this.mergeDeltas(message);
+    const isBehind = ownState.createState().offset < message.from.offset;
     if (message.freshnessMs !== undefined && !isBehind)
-      freshness.heardAge(message.freshnessMs, sentAt);
+      freshness.recordPeerAge(message.freshnessMs, sentAt);
   }
 
-  private takeNews({from, news, lacking, isNew}: GossipMessage): void {
-    if (isNew) this.courier.forget(from.id);
-    lacking.forEach(place => this.courier.forgetPlace(from.id, place));
+  private mergeDeltas({from, news, lacking, isNew}: GossipMessage): void {
+    if (isNew) this.deltaTracker.forgetPeer(from.id);
+    lacking.forEach(place => this.deltaTracker.forgetPlace(from.id, place));
     for (const item of news) {
-      this.courier.received(from.id, item);
-      if (this.options.membership.mergeNews(item))
-        this.lacking.delete(item.place);
-      else this.lacking.add(item.place);
+      this.deltaTracker.recordReceived(from.id, item);
+      if (this.options.membership.mergeDelta(item))
+        this.incompletePlaces.delete(item.place);
+      else this.incompletePlaces.add(item.place);
     }
   }
 
-  private compose(receiver: string, receiverIsNew = false): GossipMessage {
-    const {membership, freshness, ownState} = this.options;
-    const age = freshness.age();
+  private createMessage(receiver: string, receiverIsNew = false): GossipMessage {
+    const {membership, freshness, localHostState: ownState} = this.options;
+    const age = freshness.computeAgeMs();
     return {
-      from: ownState.entry(),
-      others: receiverIsNew ? membership.living() : [],
-      news: this.newsFor(receiver),
-      lacking: [...this.lacking],
+      from: ownState.createState(),
+      others: receiverIsNew ? membership.listAlive() : [],
+      news: this.createDeltas(receiver),
+      lacking: [...this.incompletePlaces],
       ...(Number.isFinite(age) ? {freshnessMs: age} : {}),
-      isNew: membership.living().length <= 1,
+      isNew: membership.listAlive().length <= 1,
     };
   }
 
-  private newsFor(receiver: string): PlaceNews[] {
+  private createDeltas(receiver: string): PlaceDigestDelta[] {
     const {membership, identity} = this.options;
     const isInside = membership.get(receiver) !== undefined;
     const digests = isInside
-      ? membership.digests()
-      : [membership.ownDigest(), ...membership.digests()];
+      ? membership.listDigests()
+      : [membership.createOwnDigest(), ...membership.listDigests()];
     const receiverPlace = isInside
       ? identity.place
-      : membership.placeOf(receiver);
-    return this.courier.newsFor(receiver, receiverPlace, digests);
+      : membership.findPlace(receiver);
+    return this.deltaTracker.createDeltas(receiver, receiverPlace, digests);
   }
 
-  private noteSelf(): void {
-    this.options.membership.mergeEntry(this.options.ownState.entry(), true);
+  private updateOwnState(): void {
+    this.options.membership.mergeState(this.options.localHostState.createState(), true);
   }
 
-  private draw<T>(items: readonly T[], count: number): T[] {
+  private sample<T>(items: readonly T[], count: number): T[] {
     const rest = [...items];
     const drawn: T[] = [];
     while (drawn.length < count && rest.length > 0) {
--- a/packages/daemon/src/peers/http_peer_transport.test.ts
+++ b/packages/daemon/src/peers/http_peer_transport.test.ts
@@ -30,7 +30,7 @@
   const transport = new HttpPeerTransport({});
   const server = createServer((request, response) => {
     request.resume();
-    const next = nextOf(String(request.headers['x-pool']));
+    const next = findNextPool(String(request.headers['x-pool']));
     const done = next ? send(transport, other().address, next) : undefined;
     Promise.resolve(done).then(
       () => response.end('done'),
@@ -43,7 +43,7 @@
   return {address: `127.0.0.1:${port}`, transport};
 }
 
-function nextOf(pool: string): PeerPool | undefined {
+function findNextPool(pool: string): PeerPool | undefined {
   if (pool === PeerPool.CLAIM) return PeerPool.RUN;
   return pool === PeerPool.RUN ? PeerPool.DIRECT : undefined;
 }
--- a/packages/daemon/src/peers/http_peer_transport.ts
+++ b/packages/daemon/src/peers/http_peer_transport.ts
@@ -6,7 +6,7 @@
 
 interface Options {
   /** The local IP number to call from; any when absent. */
-  readonly source?: string;
+  readonly sourceAddress?: string;
 }
 
 type SendOptions = Parameters<PeerTransport['send']>[2];
@@ -17,7 +17,7 @@
 }
 
 /** Connections to each host, for each pool. */
-const CONNECTIONS_A_HOST = 8;
+const CONNECTIONS_PER_HOST = 8;
 const OK = 200;
 
 /**
@@ -28,7 +28,7 @@
   /** One for each pool, so that no call waits for a connection whose own call waits for it. */
   private readonly agents: Readonly<Record<PeerPool, Agent>>;
 
-  constructor({source}: Options) {
+  constructor({sourceAddress: source}: Options) {
     this.agents = {
       [PeerPool.DIRECT]: createAgent(source),
       [PeerPool.RUN]: createAgent(source),
@@ -77,7 +77,7 @@
 
 function createAgent(source: string | undefined): Agent {
   return new Agent({
-    connections: CONNECTIONS_A_HOST,
+    connections: CONNECTIONS_PER_HOST,
     pipelining: 1,
     localAddress: source,
   });
--- a/packages/daemon/src/peers/own_state.ts
+++ b/packages/daemon/src/peers/local_host_state.ts
@@ -1,4 +1,4 @@
-import type {HostEntry, VersionCounts} from '@bayspool/decisions';
+import type {HostState, VersionRatings} from '@bayspool/decisions';
 import type {HostIdentity} from '../host/host_identity.js';
 
 /** What each domain adds to this host's entry. */
@@ -7,31 +7,31 @@
   readonly leaving?: boolean;
   readonly running?: Record<string, number>;
   readonly demand?: Record<string, number>;
-  readonly evidence?: Record<string, VersionCounts>;
+  readonly evidence?: Record<string, VersionRatings>;
   readonly suspects?: string[];
 }
 
 /** Makes this host's own entry; its sequence grows when anything in it changed. */
-export class OwnState {
+export class LocalHostState {
   private readonly contributors: (() => Contribution)[] = [];
   private sequence = 0;
   private incarnation: number;
-  private last = '';
+  private lastContent = '';
 
   constructor(private readonly identity: HostIdentity) {
     this.incarnation = identity.incarnation;
   }
 
-  contribute(contributor: () => Contribution): void {
+  addContributor(contributor: () => Contribution): void {
     this.contributors.push(contributor);
   }
 
   /** A peer knows a later incarnation of this host than this process: go above it. */
-  outlive(incarnation: number): void {
+  raiseIncarnationAbove(incarnation: number): void {
     if (incarnation > this.incarnation) this.incarnation = incarnation + 1;
   }
 
-  entry(): HostEntry {
+  createState(): HostState {
     const {id, place, boot, peerAddress} = this.identity;
     const parts: Contribution = Object.assign(
       {},
@@ -51,8 +51,8 @@
       suspects: parts.suspects ?? [],
     };
     const text = JSON.stringify(content);
-    if (text !== this.last) this.sequence++;
-    this.last = text;
+    if (text !== this.lastContent) this.sequence++;
+    this.lastContent = text;
     return {...content, sequence: this.sequence};
   }
 }
--- a/packages/daemon/src/peers/peer_client.ts
+++ b/packages/daemon/src/peers/peer_client.ts
@@ -12,7 +12,7 @@
   readonly transport: PeerTransport;
 }
 
-interface Target {
+interface CallTarget {
   /** As `10.0.0.7:7100`. */
   readonly address: string;
   readonly timeoutMs: number;
@@ -31,16 +31,16 @@
 
 /** Calls methods of other hosts by JSON-RPC; both directions are authenticated. */
 export class PeerClient {
-  private readonly rpc: JSONRPCClient<Target>;
-  private readonly bytes: Counter<'direction'>;
+  private readonly rpc: JSONRPCClient<CallTarget>;
+  private readonly bytesTotal: Counter<'direction'>;
 
   constructor(private readonly options: Options) {
-    this.bytes = options.metrics.counter(
+    this.bytesTotal = options.metrics.counter(
       'peer_client_bytes_total',
       'Bytes of bodies to and from peers that this host called.',
       ['direction'],
     );
-    this.rpc = new JSONRPCClient<Target>((payload, target) =>
+    this.rpc = new JSONRPCClient<CallTarget>((payload, target) =>
       this.send(JSON.stringify(payload), target),
     );
   }
@@ -71,7 +71,7 @@
     }
   }
 
-  private async send(body: string, target: Target): Promise<void> {
+  private async send(body: string, target: CallTarget): Promise<void> {
     const {seal, transport} = this.options;
     const {address, headers, timeoutMs, pool} = target;
     const reply = await transport.send(
@@ -81,8 +81,8 @@
     );
     if (!seal.verify(reply.body, reply.signature))
       throw new Error('the reply is not signed by a peer');
-    this.bytes.inc({direction: 'out'}, body.length);
-    this.bytes.inc({direction: 'in'}, reply.body.length);
+    this.bytesTotal.inc({direction: 'out'}, body.length);
+    this.bytesTotal.inc({direction: 'in'}, reply.body.length);
     this.rpc.receive(JSON.parse(reply.body));
   }
 }
--- a/packages/daemon/src/peers/peer_inbox.ts
+++ b/packages/daemon/src/peers/peer_message_handler.ts
@@ -2,20 +2,20 @@
 import type {Metrics} from '@bayspool/kernel';
 import type {Counter} from 'prom-client';
 import type {PeerMessage} from './peer_message.js';
-import type {PeerMethods} from './peer_methods.js';
+import type {PeerMethodRegistry} from './peer_method_registry.js';
 
 interface Options {
   readonly seal: Sealer;
-  readonly methods: PeerMethods;
+  readonly methods: PeerMethodRegistry;
   readonly metrics: Metrics;
 }
 
 /** Answers peers' messages. One that no peer signed is refused and counted. */
-export class PeerInbox {
-  private readonly refused: Counter<'why'>;
+export class PeerMessageHandler {
+  private readonly refusedTotal: Counter<'why'>;
 
   constructor(private readonly options: Options) {
-    this.refused = options.metrics.counter(
+    this.refusedTotal = options.metrics.counter(
       'peer_messages_refused_total',
       'Messages at the peer door that were refused.',
       ['why'],
@@ -23,10 +23,10 @@
   }
 
   /** Gives the signed answer, or nothing for a message that is not a peer's. */
-  async receive(message: PeerMessage): Promise<PeerMessage | undefined> {
+  async handle(message: PeerMessage): Promise<PeerMessage | undefined> {
     const {seal, methods} = this.options;
     if (!seal.verify(message.body, message.signature)) {
-      this.refuse('forged');
+      this.countRefused('forged');
       return undefined;
     }
     const body = JSON.stringify(
@@ -36,7 +36,7 @@
   }
 
   /** Counts a message that could not be taken. */
-  refuse(why: 'forged' | 'unreadable'): void {
-    this.refused.inc({why});
+  countRefused(why: 'forged' | 'unreadable'): void {
+    this.refusedTotal.inc({why});
   }
 }
--- a/packages/daemon/src/peers/peer_methods.ts
+++ b/packages/daemon/src/peers/peer_method_registry.ts
@@ -3,7 +3,7 @@
 import type {z} from 'zod';
 
 /** The methods that peers may call; each domain adds its own. */
-export class PeerMethods {
+export class PeerMethodRegistry {
   readonly server: JSONRPCServer;
 
   constructor(logger: Logger) {
@@ -15,7 +15,7 @@
   }
 
   /** Adds a method whose parameters are checked before `handle` sees them. */
-  add<T>(
+  register<T>(
     name: string,
     params: z.ZodType<T>,
     handle: (params: T) => Promise<unknown> | unknown,
--- a/packages/daemon/src/peers/peer_door.ts
+++ b/packages/daemon/src/peers/peer_server.ts
@@ -2,22 +2,22 @@
 import express, {type Express, type Request, type Response} from 'express';
 import {HttpServer} from '../http_server.js';
 import {peerHeaders} from './peer_headers.js';
-import type {PeerInbox} from './peer_inbox.js';
+import type {PeerMessageHandler} from './peer_message_handler.js';
 
 interface Options {
   readonly endpoint: string;
-  readonly inbox: PeerInbox;
+  readonly messageHandler: PeerMessageHandler;
   readonly logger: Logger;
   /** A longer message is refused unread. */
-  readonly messageBytesMost: number;
+  readonly maxMessageBytes: number;
 }
 
-const CONNECTIONS_MOST = 2_000;
+const MAX_CONNECTIONS = 2_000;
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
 /** Where peers call this host. A message without a peer's signature is refused and counted. */
-export class PeerDoor implements Service {
+export class PeerServer implements Service {
   readonly name = 'peer door';
   private readonly server: HttpServer;
 
@@ -26,7 +26,7 @@
       listener: this.createApp(),
       endpoint: options.endpoint,
       setting: '[host] peer-address',
-      connectionsMost: CONNECTIONS_MOST,
+      maxConnections: MAX_CONNECTIONS,
       headersTimeoutMs: HEADERS_TIMEOUT_MS,
       requestTimeoutMs: REQUEST_TIMEOUT_MS,
     });
@@ -48,7 +48,7 @@
     app.disable('x-powered-by');
     app.disable('etag');
     app.use(
-      express.text({type: () => true, limit: this.options.messageBytesMost}),
+      express.text({type: () => true, limit: this.options.maxMessageBytes}),
     );
     app.post('/rpc', (request, response) => this.answer(request, response));
     app.use(
@@ -59,7 +59,7 @@
         next: () => void,
       ) => {
         if (response.headersSent) return next();
-        this.options.inbox.refuse('unreadable');
+        this.options.messageHandler.countRefused('unreadable');
         response.status(400).end();
       },
     );
@@ -69,7 +69,7 @@
   private async answer(request: Request, response: Response): Promise<void> {
     const body = typeof request.body === 'string' ? request.body : '';
     const signature = String(request.headers[peerHeaders.signature] ?? '');
-    const reply = await this.options.inbox.receive({body, signature});
+    const reply = await this.options.messageHandler.handle({body, signature});
     if (!reply) {
       response.status(401).end();
       return;
--- a/packages/daemon/src/peers/peers_plugin.ts
+++ b/packages/daemon/src/peers/peers_plugin.ts
@@ -1,14 +1,14 @@
-import {Freshness, Membership} from '@bayspool/decisions';
+import {LogFreshness, Membership} from '@bayspool/decisions';
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
 import {Gossip} from './gossip.js';
-import {OwnState} from './own_state.js';
+import {LocalHostState} from './local_host_state.js';
 import {HttpPeerTransport} from './http_peer_transport.js';
 import {PeerClient} from './peer_client.js';
-import {PeerDoor} from './peer_door.js';
-import {PeerInbox} from './peer_inbox.js';
-import {PeerMethods} from './peer_methods.js';
+import {PeerServer} from './peer_server.js';
+import {PeerMessageHandler} from './peer_message_handler.js';
+import {PeerMethodRegistry} from './peer_method_registry.js';
 
 /** Settings of the traffic between hosts. */
 export const peersSection = {
@@ -52,22 +52,22 @@
     const random = container.get(tokens.random);
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
-    const identity = container.get(daemonTokens.identity);
-    const seal = container.get(daemonTokens.seals).peers;
-    const methods = new PeerMethods(logger);
-    const ownState = new OwnState(identity);
-    const freshness = new Freshness(clock);
+    const identity = container.get(daemonTokens.hostIdentity);
+    const seal = container.get(daemonTokens.sealers).peers;
+    const methods = new PeerMethodRegistry(logger);
+    const ownState = new LocalHostState(identity);
+    const freshness = new LogFreshness(clock);
     const transport = container.isBound(daemonTokens.peerTransport)
       ? container.get(daemonTokens.peerTransport)
-      : new HttpPeerTransport({source: peers.source});
+      : new HttpPeerTransport({sourceAddress: peers.source});
     const client = new PeerClient({
       seal,
       metrics,
       transport,
       timeoutMs: peers.timeout,
     });
-    const inbox = new PeerInbox({seal, methods, metrics});
-    container.bind(daemonTokens.peerInbox).toConstantValue(inbox);
+    const inbox = new PeerMessageHandler({seal, methods, metrics});
+    container.bind(daemonTokens.peerMessageHandler).toConstantValue(inbox);
     const membership = new Membership({
       clock,
       self: identity.id,
@@ -78,16 +78,16 @@
     });
     container.bind(daemonTokens.peerMethods).toConstantValue(methods);
     container.bind(daemonTokens.peerClient).toConstantValue(client);
-    container.bind(daemonTokens.ownState).toConstantValue(ownState);
+    container.bind(daemonTokens.localHostState).toConstantValue(ownState);
     container.bind(daemonTokens.freshness).toConstantValue(freshness);
     container.bind(daemonTokens.membership).toConstantValue(membership);
     const messageBytesMost = peers['message-limit'];
     container.bind(tokens.service).toConstantValue(
-      new PeerDoor({
+      new PeerServer({
         endpoint: identity.peerListen,
-        inbox,
+        messageHandler: inbox,
         logger,
-        messageBytesMost,
+        maxMessageBytes: messageBytesMost,
       }),
     );
     const gossip = new Gossip({
@@ -96,7 +96,7 @@
       logger,
       metrics,
       identity,
-      ownState,
+      localHostState: ownState,
       membership,
       freshness,
       client,
--- a/packages/daemon/src/platform/create_http_client.ts
+++ b/packages/daemon/src/platform/create_http_client.ts
@@ -7,11 +7,11 @@
   readonly timeoutMs: number;
 }
 
-const SOCKETS_MOST = 64;
+const MAX_SOCKETS = 64;
 
 /** A client for one service: kept-alive connections, no hidden retries, JSON. */
 export function createHttpClient(options: Options): Got {
-  const agent = new Agent({keepAlive: true, maxSockets: SOCKETS_MOST});
+  const agent = new Agent({keepAlive: true, maxSockets: MAX_SOCKETS});
   return got.extend({
     prefixUrl: `http://${options.endpoint}`,
     agent: {http: agent},
--- a/packages/daemon/src/platform/embedded_platform_plugin.ts
+++ b/packages/daemon/src/platform/embedded_platform_plugin.ts
@@ -23,7 +23,7 @@
     container
       .bind(daemonTokens.log)
       .toConstantValue(new MemoryLog({clock, retentionMs: platform.retention}));
-    container.bind(daemonTokens.rating).toConstantValue(
+    container.bind(daemonTokens.ratingService).toConstantValue(
       new MemoryRating({
         clock,
         random: container.get(tokens.random),
--- a/packages/daemon/src/platform/http_log.ts
+++ b/packages/daemon/src/platform/http_log.ts
@@ -7,14 +7,14 @@
   readonly timeoutMs: number;
 }
 
-const page = z.object({
+const pageSchema = z.object({
   records: z.array(
     z.object({offset: z.int(), at: z.number(), value: z.string()}),
   ),
   first: z.int(),
   next: z.int(),
 });
-const appended = z.object({offset: z.int()});
+const appendReplySchema = z.object({offset: z.int()});
 
 /** The platform's log over HTTP. */
 export class HttpLog implements Log {
@@ -24,7 +24,7 @@
     const reply = await this.options.http.post(`streams/${stream}/records`, {
       json: {values},
     });
-    return appended.parse(reply.body).offset;
+    return appendReplySchema.parse(reply.body).offset;
   }
 
   async read(
@@ -37,6 +37,6 @@
       timeout: {request: options.waitMs + this.options.timeoutMs},
       signal: options.signal,
     });
-    return page.parse(reply.body);
+    return pageSchema.parse(reply.body);
   }
 }
--- a/packages/daemon/src/platform/http_platform_plugin.ts
+++ b/packages/daemon/src/platform/http_platform_plugin.ts
@@ -2,7 +2,7 @@
 import {daemonTokens} from '../daemon_tokens.js';
 import {createHttpClient} from './create_http_client.js';
 import {HttpLog} from './http_log.js';
-import {HttpRating} from './http_rating.js';
+import {HttpRatingService} from './http_rating_service.js';
 import {HttpRoster} from './http_roster.js';
 import {HttpWeightStore} from './http_weight_store.js';
 import {platformSection} from './platform_section.js';
@@ -21,9 +21,9 @@
       .toConstantValue(new HttpLog({http: client(platform.log!), timeoutMs}));
     if (platform.rating) {
       container
-        .bind(daemonTokens.rating)
+        .bind(daemonTokens.ratingService)
         .toConstantValue(
-          new HttpRating({http: client(platform.rating), timeoutMs}),
+          new HttpRatingService({http: client(platform.rating), timeoutMs}),
         );
     }
     if (platform.roster)
--- a/packages/daemon/src/platform/http_rating.ts
+++ b/packages/daemon/src/platform/http_rating_service.ts
@@ -1,4 +1,4 @@
-import type {Rating, RatingResult, RatingSample} from '@bayspool/decisions';
+import type {RatingService, RatingResult, RatingSample} from '@bayspool/decisions';
 import type {Got} from 'got';
 import {z} from 'zod';
 
@@ -7,12 +7,12 @@
   readonly timeoutMs: number;
 }
 
-const results = z.array(
+const resultsSchema = z.array(
   z.object({position: z.int(), requestId: z.string(), good: z.boolean()}),
 );
 
 /** The platform's rating service over HTTP. */
-export class HttpRating implements Rating {
+export class HttpRatingService implements RatingService {
   constructor(private readonly options: Options) {}
 
   async submit(sample: RatingSample): Promise<void> {
@@ -22,7 +22,7 @@
     });
   }
 
-  async results(
+  async fetchResults(
     host: string,
     after: number,
     waitMs: number,
@@ -33,6 +33,6 @@
       timeout: {request: waitMs + this.options.timeoutMs},
       signal,
     });
-    return results.parse(reply.body);
+    return resultsSchema.parse(reply.body);
   }
 }
--- a/packages/daemon/src/platform/http_roster.ts
+++ b/packages/daemon/src/platform/http_roster.ts
@@ -2,7 +2,7 @@
 import type {Got} from 'got';
 import {z} from 'zod';
 
-const entries = z.array(z.object({id: z.string(), leaving: z.boolean()}));
+const entriesSchema = z.array(z.object({id: z.string(), leaving: z.boolean()}));
 
 /** The platform's list of hosts over HTTP. */
 export class HttpRoster implements Roster {
@@ -10,6 +10,6 @@
 
   async list(signal?: AbortSignal): Promise<RosterEntry[]> {
     const reply = await this.http.get('entries', {signal});
-    return entries.parse(reply.body);
+    return entriesSchema.parse(reply.body);
   }
 }
--- a/packages/daemon/src/platform/http_weight_store.ts
+++ b/packages/daemon/src/platform/http_weight_store.ts
@@ -2,7 +2,7 @@
 import type {Got} from 'got';
 import {z} from 'zod';
 
-const rate = z.object({loads_per_minute: z.number().positive()});
+const rateSchema = z.object({loads_per_minute: z.number().positive()});
 
 /** The platform's weight store over HTTP. */
 export class HttpWeightStore implements WeightStore {
@@ -10,6 +10,6 @@
 
   async loadsPerMinute(signal?: AbortSignal): Promise<number> {
     const reply = await this.http.get('rate', {signal});
-    return rate.parse(reply.body).loads_per_minute;
+    return rateSchema.parse(reply.body).loads_per_minute;
   }
 }
--- a/packages/daemon/src/ratings/evidence_book.ts
+++ b/packages/daemon/src/ratings/evidence_book.ts
@@ -1,8 +1,8 @@
 import {
-  exposureQuota,
+  computeExposureQuota,
   type Membership,
   type Version,
-  type VersionCounts,
+  type VersionRatings,
 } from '@bayspool/decisions';
 import type {Clock} from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
@@ -35,8 +35,8 @@
   mayExpose(version: Version): boolean {
     if (!version.rollOut) return true;
     const {membership, self} = this.options;
-    const hosts = membership.allHosts().map(host => host.id);
-    const quota = exposureQuota({
+    const hosts = membership.listAllHosts().map(host => host.id);
+    const quota = computeExposureQuota({
       exposure: version.rollOut.exposure,
       version: version.id,
       self,
@@ -63,7 +63,7 @@
   }
 
   /** What the other hosts are told. */
-  summary(): Record<string, VersionCounts> {
+  summary(): Record<string, VersionRatings> {
     const versions = [...this.counts.keys()].map(version => {
       const {stage, good, bad, open} = this.countsOf(version);
       return [version, {stage, good, bad, open: open.size}] as const;
--- a/packages/daemon/src/ratings/rating_book.ts
+++ b/packages/daemon/src/ratings/rating_book.ts
@@ -1,7 +1,7 @@
 import {
   Backoff,
-  PassEstimate,
-  type Rating,
+  PassRateEstimate,
+  type RatingService,
   type RatingResult,
   type RatingSample,
 } from '@bayspool/decisions';
@@ -22,7 +22,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Absent when the platform has no rating service. */
-  readonly rating: Rating | undefined;
+  readonly rating: RatingService | undefined;
   readonly evidence: EvidenceBook;
   /** Names this process at the rating service. */
   readonly mailbox: string;
@@ -48,7 +48,7 @@
   readonly name = 'rating book';
   private readonly stopping = new AbortController();
   private readonly awaited = new Map<string, Awaited>();
-  private readonly estimates = new Map<string, PassEstimate>();
+  private readonly estimates = new Map<string, PassRateEstimate>();
   private readonly results: Counter<'version' | 'result'>;
   private position = 0;
   private loop: Promise<void> = Promise.resolve();
@@ -62,11 +62,11 @@
   }
 
   /** The pass probability of a version at a task of a workspace. */
-  estimate(workspace: string, task: string, version: string): PassEstimate {
+  estimate(workspace: string, task: string, version: string): PassRateEstimate {
     const key = `${workspace}/${task}/${version}`;
     let estimate = this.estimates.get(key);
     if (!estimate) {
-      estimate = new PassEstimate({halfLifeMs: this.options.halfLifeMs});
+      estimate = new PassRateEstimate({halfLifeMs: this.options.halfLifeMs});
       this.estimates.set(key, estimate);
     }
     return estimate;
@@ -119,12 +119,12 @@
     if (!rating) return;
     const backoff = new Backoff({
       random,
-      firstMs: BACKOFF_FIRST_MS,
-      mostMs: BACKOFF_MOST_MS,
+      initialMs: BACKOFF_FIRST_MS,
+      maxMs: BACKOFF_MOST_MS,
     });
     while (!this.stopping.signal.aborted) {
       try {
-        const results = await rating.results(
+        const results = await rating.fetchResults(
           mailbox,
           this.position,
           pollMs,
@@ -135,7 +135,7 @@
       } catch (error) {
         if (this.stopping.signal.aborted) return;
         logger.debug('ratings not read', {error: String(error)});
-        await sleep(clock, backoff.next(), this.stopping.signal);
+        await sleep(clock, backoff.nextDelayMs(), this.stopping.signal);
       }
       this.expire();
     }
@@ -149,7 +149,7 @@
     this.awaited.delete(result.requestId);
     const {workspace, task, version} = awaited.sample;
     const requestId = awaited.sample.requestId;
-    this.estimate(workspace, task, version).add(
+    this.estimate(workspace, task, version).addRating(
       result.good,
       this.options.clock.now(),
     );
--- a/packages/daemon/src/ratings/ratings_plugin.ts
+++ b/packages/daemon/src/ratings/ratings_plugin.ts
@@ -1,4 +1,4 @@
-import {OpenGate, SequentialGate} from '@bayspool/decisions';
+import {RatingCountGate, SequentialGate} from '@bayspool/decisions';
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
@@ -35,10 +35,10 @@
     const random = container.get(tokens.random);
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
-    const store = container.get(daemonTokens.store);
+    const store = container.get(daemonTokens.configurationStore);
     const membership = container.get(daemonTokens.membership);
-    const identity = container.get(daemonTokens.identity);
-    const ownState = container.get(daemonTokens.ownState);
+    const identity = container.get(daemonTokens.hostIdentity);
+    const ownState = container.get(daemonTokens.localHostState);
     const evidence = new EvidenceBook({
       clock,
       store,
@@ -52,8 +52,8 @@
       logger,
       metrics,
       evidence,
-      rating: container.isBound(daemonTokens.rating)
-        ? container.get(daemonTokens.rating)
+      rating: container.isBound(daemonTokens.ratingService)
+        ? container.get(daemonTokens.ratingService)
         : undefined,
       mailbox: `${identity.id}.${identity.boot}`,
       pollMs: section.poll,
@@ -68,14 +68,14 @@
       store,
       membership,
       self: identity.id,
-      filer: container.get(daemonTokens.filer),
-      gate: section.gate === 'open' ? new OpenGate() : new SequentialGate(),
-      onHalt: () => void container.get(daemonTokens.gossip).tellNow(),
+      filer: container.get(daemonTokens.intentSubmitter),
+      gate: section.gate === 'open' ? new RatingCountGate() : new SequentialGate(),
+      onHalt: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: section.interval,
       stepLeastMs: section['step-least'],
       watchStable: section['watch-stable'],
     });
-    ownState.contribute(() => ({
+    ownState.addContributor(() => ({
       evidence: evidence.summary(),
       suspects: gate.suspects(),
     }));
--- a/packages/daemon/src/ratings/roll_out_gate.ts
+++ b/packages/daemon/src/ratings/roll_out_gate.ts
@@ -2,14 +2,14 @@
 import {
   DriftDetector,
   GateVerdict,
-  PassEstimate,
+  PassRateEstimate,
   planIntent,
-  rendezvous,
-  type Gate,
+  selectByRendezvousHash,
+  type VersionGate,
   type Intent,
   type Membership,
   type Version,
-  type VersionCounts,
+  type VersionRatings,
 } from '@bayspool/decisions';
 import {
   jitter,
@@ -21,7 +21,7 @@
   type Service,
 } from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import type {IntentFiler} from '../configuration/intent_filer.js';
+import type {IntentSubmitter} from '../configuration/intent_submitter.js';
 import {versionStage} from './version_stage.js';
 
 interface Options {
@@ -32,8 +32,8 @@
   readonly self: string;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly filer: IntentFiler;
-  readonly gate: Gate;
+  readonly filer: IntentSubmitter;
+  readonly gate: VersionGate;
   /** Told when this host halted a version. */
   readonly onHalt: () => void;
   /** How often the evidence is looked at, in ms. */
@@ -48,7 +48,7 @@
   readonly stage: string;
   readonly since: number;
   readonly drift: DriftDetector;
-  readonly longTerm: PassEstimate;
+  readonly longTerm: PassRateEstimate;
   good: number;
   bad: number;
 }
@@ -111,7 +111,7 @@
 
   private judgeAll(): void {
     for (const version of Object.values(this.options.store.current.versions)) {
-      const evidence = this.options.membership.evidence(version.id);
+      const evidence = this.options.membership.sumRatings(version.id);
       if (
         evidence &&
         evidence.stage === versionStage(this.options.store.current, version.id)
@@ -120,7 +120,7 @@
     }
   }
 
-  private judge(version: Version, evidence: VersionCounts): void {
+  private judge(version: Version, evidence: VersionRatings): void {
     if (
       version.suspect !== undefined ||
       this.halted.get(version.id) === this.revisionOf(version)
@@ -134,10 +134,10 @@
 
   private judgeStep(
     version: Version,
-    evidence: VersionCounts,
+    evidence: VersionRatings,
     watch: Watch,
   ): void {
-    const verdict = this.options.gate.judge(
+    const verdict = this.options.gate.evaluate(
       evidence,
       this.acceptableRate(version),
     );
@@ -155,7 +155,7 @@
 
   private judgeDrift(
     version: Version,
-    evidence: VersionCounts,
+    evidence: VersionRatings,
     watch: Watch,
   ): void {
     const good = Math.max(0, evidence.good - watch.good);
@@ -163,11 +163,11 @@
     watch.good = evidence.good;
     watch.bad = evidence.bad;
     if (good + bad === 0) return;
-    const turnedBad = watch.drift.add(good, bad, this.acceptableRate(version));
+    const turnedBad = watch.drift.addRatings(good, bad, this.acceptableRate(version));
     if (turnedBad) this.halt(version, evidence);
     const now = this.options.clock.now();
-    for (let count = 0; count < good; count++) watch.longTerm.add(true, now);
-    for (let count = 0; count < bad; count++) watch.longTerm.add(false, now);
+    for (let count = 0; count < good; count++) watch.longTerm.addRating(true, now);
+    for (let count = 0; count < bad; count++) watch.longTerm.addRating(false, now);
   }
 
   /** The rate of bad answers that is accepted: what the model's stable version shows, else what the tasks ask for. */
@@ -177,7 +177,7 @@
       other => other.model === version.model && other.state === 'stable',
     );
     const watch = stable && this.watches.get(stable.id);
-    if (watch && watch.longTerm.weight() >= LONG_TERM_LEAST)
+    if (watch && watch.longTerm.effectiveRatings() >= LONG_TERM_LEAST)
       return 1 - watch.longTerm.mean(this.options.clock.now());
     const targets = Object.values(workspaces).flatMap(workspace =>
       Object.values(workspace.tasks)
@@ -187,7 +187,7 @@
     return 1 - Math.min(1, ...targets);
   }
 
-  private halt(version: Version, evidence: VersionCounts): void {
+  private halt(version: Version, evidence: VersionRatings): void {
     const {logger} = this.options;
     const text = `${evidence.bad} of ${evidence.good + evidence.bad} answers were rated bad`;
     this.halted.set(version.id, this.revisionOf(version));
@@ -210,8 +210,8 @@
   ): Promise<void> {
     const {clock, random, store, filer, membership, self, logger} =
       this.options;
-    const first = rendezvous(
-      membership.allHosts().map(host => host.id),
+    const first = selectByRendezvousHash(
+      membership.listAllHosts().map(host => host.id),
       key,
       FIRST_FILERS,
     );
@@ -232,7 +232,7 @@
       lapsesAt: clock.wall() + PLAN_LIFE_MS,
     });
     if (plan.isLeft()) return;
-    const verdict = await filer.file(plan.unsafeCoerce(), `host ${self}`);
+    const verdict = await filer.submit(plan.unsafeCoerce(), `host ${self}`);
     logger.info('decision filed', {
       kind: intent.kind,
       version: intent.version,
@@ -244,7 +244,7 @@
     const known = this.watches.get(version);
     if (known?.stage === stage) return known;
     const longTerm =
-      known?.longTerm ?? new PassEstimate({halfLifeMs: LONG_TERM_HALF_LIFE_MS});
+      known?.longTerm ?? new PassRateEstimate({halfLifeMs: LONG_TERM_HALF_LIFE_MS});
     const watch = {
       stage,
       since: this.options.clock.now(),
--- a/packages/daemon/src/run_daemon.ts
+++ b/packages/daemon/src/run_daemon.ts
@@ -8,15 +8,15 @@
 ): Promise<void> {
   const {logger, container} = kernel;
   await kernel.start();
-  logger.info('running', {host: container.get(daemonTokens.identity).id});
+  logger.info('running', {host: container.get(daemonTokens.hostIdentity).id});
   if (!signal.aborted)
     await new Promise(resolve =>
       signal.addEventListener('abort', resolve, {once: true}),
     );
-  const leaving = container.get(daemonTokens.leaving);
+  const leaving = container.get(daemonTokens.leavingState);
   logger.info('leaving');
-  leaving.begin();
-  await sleep(container.get(tokens.clock), leaving.noticeMs);
+  leaving.beginShutdown();
+  await sleep(container.get(tokens.clock), leaving.gracePeriodMs);
   await kernel.stop();
   logger.info('left');
 }
--- a/packages/daemon/src/runners/demand.ts
+++ b/packages/daemon/src/runners/demand.ts
@@ -1,8 +1,8 @@
-import type {WaitingItem} from '@bayspool/decisions';
+import type {QueuedRequest} from '@bayspool/decisions';
 import type {Problem} from '@bayspool/kernel';
 
 /** A request's wish for a place at a runner. */
-export interface Demand extends WaitingItem {
+export interface Demand extends QueuedRequest {
   /** The version, or the name of the plain service. */
   readonly version: string;
   /** Asked again at the moment of dispatch: a problem means that it must not run any more. */
--- a/packages/daemon/src/runners/http_runner.ts
+++ b/packages/daemon/src/runners/http_runner.ts
@@ -4,7 +4,7 @@
   type CacheEvent,
   type GenerateEvent,
   type GenerateRequest,
-  type Order,
+  type RunnerOrder,
   type Runner,
   type RunnerReport,
 } from '@bayspool/decisions';
@@ -136,17 +136,17 @@
     }
   }
 
-  async report(signal: AbortSignal): Promise<RunnerReport> {
+  async fetchReport(signal: AbortSignal): Promise<RunnerReport> {
     return report.parse(await this.ask('/report', signal));
   }
 
-  async cacheEvents(after: number, signal: AbortSignal): Promise<CacheEvent[]> {
+  async fetchCacheEvents(after: number, signal: AbortSignal): Promise<CacheEvent[]> {
     return cacheEvents.parse(
       await this.ask(`/cache-events?after=${after}`, signal),
     );
   }
 
-  async order(order: Order, signal: AbortSignal): Promise<void> {
+  async sendOrder(order: RunnerOrder, signal: AbortSignal): Promise<void> {
     const json = {
       version: order.version,
       desired: order.desired,
@@ -168,7 +168,7 @@
     request_id: request.requestId,
     priority: request.priority,
     prefixes: request.prefixes,
-    resume: {from: request.resumeFrom, text: request.given},
+    resume: {from: request.resumeFrom, text: request.generatedText},
   };
 }
 
--- a/packages/daemon/src/runners/http_service.ts
+++ b/packages/daemon/src/runners/http_service.ts
@@ -2,8 +2,8 @@
 import type {Readable} from 'node:stream';
 import {
   RunnerFailure,
-  type PlainService,
-  type ServiceAnswer,
+  type ServiceRunner,
+  type ServiceResponse,
   type ServiceRequest,
 } from '@bayspool/decisions';
 import got, {type Method} from 'got';
@@ -22,7 +22,7 @@
  * A plain service's runner over HTTP. Every call has a connection of its own: a
  * kept one could die under a request and leave open whether it arrived.
  */
-export class HttpService implements PlainService {
+export class HttpService implements ServiceRunner {
   readonly id: string;
   readonly service: string;
   readonly place: string;
@@ -36,7 +36,7 @@
   call(
     request: ServiceRequest,
     signal: AbortSignal,
-  ): Promise<ServiceAnswer<Readable>> {
+  ): Promise<ServiceResponse<Readable>> {
     const stream = got.stream(
       `http://${this.options.endpoint}${request.path}`,
       {
@@ -58,7 +58,7 @@
       stream.once('response', (response: IncomingMessage) => {
         resolve({
           status: response.statusCode ?? 0,
-          headers: response.headers as ServiceAnswer<Readable>['headers'],
+          headers: response.headers as ServiceResponse<Readable>['headers'],
           body: stream,
         });
       });
--- a/packages/daemon/src/runners/runner_poller.ts
+++ b/packages/daemon/src/runners/runner_poller.ts
@@ -74,9 +74,9 @@
     const timeout = timeoutSignal(this.options.clock, this.options.timeoutMs);
     const signal = AbortSignal.any([this.stopping.signal, timeout.signal]);
     try {
-      state.reported(await state.target.report(signal));
-      state.prefixes.apply(
-        await state.target.cacheEvents(state.prefixes.position, signal),
+      state.reported(await state.target.fetchReport(signal));
+      state.prefixes.applyEvents(
+        await state.target.fetchCacheEvents(state.prefixes.position, signal),
       );
     } catch (error) {
       if (this.stopping.signal.aborted) return;
--- a/packages/daemon/src/runners/runners_plugin.ts
+++ b/packages/daemon/src/runners/runners_plugin.ts
@@ -1,10 +1,10 @@
 import {
   CrossingPolicy,
-  FairOrder,
-  FirstComeOrder,
-  PredictedWait,
+  StartTimeFairQueueing,
+  FifoQueueing,
+  LeastPredictedWait,
   RoundRobin,
-  type RunnerChoice,
+  type LoadBalancer,
 } from '@bayspool/decisions';
 import {
   pluginRegistry,
@@ -30,8 +30,8 @@
     const clock = container.get(tokens.clock);
     const random = container.get(tokens.random);
     const metrics = container.get(tokens.metrics);
-    const store = container.get(daemonTokens.store);
-    const leaving = container.get(daemonTokens.leaving);
+    const store = container.get(daemonTokens.configurationStore);
+    const leaving = container.get(daemonTokens.leavingState);
     const isDrained = ({id}: {id: string}) =>
       Boolean(store.current.drained[`runner/${id}`]) ||
       leaving.isRunnerLeaving(id);
@@ -40,12 +40,12 @@
       random,
       isDrained,
       settings: poolSettingsOf(routing),
-      order: routing.order === 'fair' ? new FairOrder() : new FirstComeOrder(),
+      order: routing.order === 'fair' ? new StartTimeFairQueueing() : new FifoQueueing(),
       choice: chooserOf(routing, random),
       crossing: new CrossingPolicy({
-        enter: routing['crossing-enter'],
-        leave: routing['crossing-leave'],
-        cap: routing['crossing-cap'],
+        startLoad: routing['crossing-enter'],
+        stopLoad: routing['crossing-leave'],
+        maxTargetLoad: routing['crossing-cap'],
       }),
     });
     const pool = new RunnerPool(common());
@@ -64,8 +64,8 @@
       services.serve();
     });
     container
-      .get(daemonTokens.ownState)
-      .contribute(() => ({running: pool.running()}));
+      .get(daemonTokens.localHostState)
+      .addContributor(() => ({running: pool.running()}));
     metrics.observeEach(
       'runner_requests_in_flight',
       'Requests of this host at each runner.',
@@ -87,7 +87,7 @@
         services: services.waiting,
       }),
     );
-    container.bind(daemonTokens.pool).toConstantValue(pool);
+    container.bind(daemonTokens.runnerPool).toConstantValue(pool);
     container.bind(daemonTokens.servicePool).toConstantValue(services);
     container.bind(tokens.service).toConstantValue(
       new RunnerPoller({
@@ -103,9 +103,9 @@
   },
 };
 
-function chooserOf(routing: Routing, random: RandomSource): RunnerChoice {
+function chooserOf(routing: Routing, random: RandomSource): LoadBalancer {
   if (routing.choice === 'round-robin') return new RoundRobin();
-  return new PredictedWait({random, crossingMs: routing['crossing-cost']});
+  return new LeastPredictedWait({random, crossingMs: routing['crossing-cost']});
 }
 
 pluginRegistry.register(runnersPlugin);
--- a/packages/daemon/src/runners/service_pool.ts
+++ b/packages/daemon/src/runners/service_pool.ts
@@ -1,5 +1,5 @@
-import type {PlainService} from '@bayspool/decisions';
+import type {ServiceRunner} from '@bayspool/decisions';
 import {TargetPool} from './target_pool.js';
 
 /** The plain services' runners that this host may use. */
-export class ServicePool extends TargetPool<PlainService> {}
+export class ServicePool extends TargetPool<ServiceRunner> {}
--- a/packages/daemon/src/runners/target_pool.ts
+++ b/packages/daemon/src/runners/target_pool.ts
@@ -1,9 +1,9 @@
 import {
   AdmissionQueue,
   CrossingPolicy,
-  WaitEstimate,
-  type QueueOrder,
-  type RunnerChoice,
+  QueueWaitEstimator,
+  type QueueDiscipline,
+  type LoadBalancer,
 } from '@bayspool/decisions';
 import {
   Problem,
@@ -22,8 +22,8 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly settings: PoolSettings;
-  readonly order: QueueOrder;
-  readonly choice: RunnerChoice;
+  readonly order: QueueDiscipline;
+  readonly choice: LoadBalancer;
   readonly crossing: CrossingPolicy;
   /** Whether operators or the platform took this runner out of service. */
   readonly isDrained: (target: T) => boolean;
@@ -36,12 +36,12 @@
 export class TargetPool<T extends Target> {
   private readonly states = new Map<string, TargetState<T>>();
   private readonly queue: AdmissionQueue<Demand, Grant<T>>;
-  private readonly estimate: WaitEstimate;
+  private readonly estimate: QueueWaitEstimator;
 
   constructor(private readonly options: Options<T>) {
     const {clock, order, settings} = options;
-    this.queue = new AdmissionQueue({clock, order, most: settings.queueMost});
-    this.estimate = new WaitEstimate({clock, windowMs: ESTIMATE_WINDOW_MS});
+    this.queue = new AdmissionQueue({clock, discipline: order, maxPerClass: settings.queueMost});
+    this.estimate = new QueueWaitEstimator({clock, windowMs: ESTIMATE_WINDOW_MS});
   }
 
   /** @param offers What the runner serves until it reports. */
@@ -80,7 +80,7 @@
   acquire(demand: Demand, signal: AbortSignal): Promise<Grant<T>> {
     const late = this.refuseHopeless(demand);
     if (late) return Promise.reject(late);
-    const grant = this.queue.join(demand, signal);
+    const grant = this.queue.enqueue(demand, signal);
     this.serve();
     return grant;
   }
@@ -88,7 +88,7 @@
   /** Offers free places to the queue; call it when something changed. */
   serve(): void {
     const full = new Set<string>();
-    this.queue.pass(demand => {
+    this.queue.admit(demand => {
       const key = `${demand.version} ${demand.places.join(' ')} ${demand.crossing}`;
       if (full.has(key)) return undefined;
       const result = demand.recheck() ?? this.take(demand);
@@ -98,7 +98,7 @@
   }
 
   private refuseHopeless(demand: Demand): Problem | undefined {
-    const wait = this.estimate.waitBehind(this.queue.lengthOf(demand.priority));
+    const wait = this.estimate.estimateWaitMs(this.queue.countWaiting(demand.priority));
     if (this.options.clock.now() + wait < demand.deadlineAt) return undefined;
     return new Problem({
       kind: ProblemKind.DEADLINE,
@@ -184,8 +184,8 @@
     let released = false;
     state.inFlight++;
     state.usedAt = startedAt;
-    state.prefixes.expect(demand.prefixes);
-    this.estimate.departed();
+    state.prefixes.recordSent(demand.prefixes);
+    this.estimate.recordDeparture();
     return {
       target: state.target,
       crossed: state.target.place !== demand.places[0],
@@ -199,12 +199,12 @@
 
   private settle(state: TargetState<T>, result: GrantResult, ms: number): void {
     if (result === GrantResult.OK) {
-      state.health.succeeded();
-      state.limit.succeeded(state.inFlight);
+      state.health.recordSuccess();
+      state.limit.recordSuccess(state.inFlight);
       state.served(ms);
     }
-    if (result === GrantResult.FAILED) state.health.failed();
-    if (result === GrantResult.BUSY) state.limit.overloaded();
+    if (result === GrantResult.FAILED) state.health.recordFailure();
+    if (result === GrantResult.BUSY) state.limit.recordOverload();
     state.inFlight--;
     this.serve();
   }
--- a/packages/daemon/src/runners/target_state.ts
+++ b/packages/daemon/src/runners/target_state.ts
@@ -1,6 +1,6 @@
 import {
-  AdaptiveLimit,
-  PrefixIndex,
+  AdaptiveConcurrencyLimit,
+  RunnerPrefixCache,
   RunnerHealth,
   type RunnerReport,
   type RunnerView,
@@ -27,8 +27,8 @@
 export class TargetState<T extends Target> {
   readonly target: T;
   readonly health: RunnerHealth;
-  readonly limit: AdaptiveLimit;
-  readonly prefixes: PrefixIndex;
+  readonly limit: AdaptiveConcurrencyLimit;
+  readonly prefixes: RunnerPrefixCache;
   inFlight = 0;
   /** When a request was last dispatched to it, on the local clock in ms. */
   usedAt = -Infinity;
@@ -44,8 +44,8 @@
     this.target = target;
     this.offers = new Set(options.offers);
     this.health = new RunnerHealth({clock, random, ...settings.health});
-    this.limit = new AdaptiveLimit(settings.limit);
-    this.prefixes = new PrefixIndex({clock, ...settings.prefixes});
+    this.limit = new AdaptiveConcurrencyLimit(settings.limit);
+    this.prefixes = new RunnerPrefixCache({clock, ...settings.prefixes});
   }
 
   get lastReport(): RunnerReport | undefined {
@@ -72,7 +72,7 @@
 
   reported(report: RunnerReport): void {
     if (report.waiting > 0 && report.waiting > (this.report?.waiting ?? 0))
-      this.limit.overloaded();
+      this.limit.recordOverload();
     this.report = report;
     this.offers = new Set(report.versions);
     this.reportedAt = this.options.clock.now();
--- a/packages/decisions/src/billing/bill_ledger.ts
+++ b/packages/decisions/src/billing/bill_outbox.ts
@@ -2,10 +2,10 @@
 
 interface Options {
   /** How many bills may wait for the log, own and held together. */
-  readonly most: number;
+  readonly maxBills: number;
 }
 
-interface Held {
+interface HeldBill {
   readonly bill: Bill;
   readonly owner: string;
   readonly boot: string;
@@ -14,15 +14,15 @@
 }
 
 /** Bills that are not yet known to be in the log: this host's own, and those it holds for peers. */
-export class BillLedger {
+export class BillOutbox {
   private readonly own = new Map<string, Bill>();
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, HeldBill>();
 
   constructor(private readonly options: Options) {}
 
   /** False when the ledger is full, so the work must not be started. */
-  hasRoom(): boolean {
-    return this.own.size + this.held.size < this.options.most;
+  hasCapacity(): boolean {
+    return this.own.size + this.held.size < this.options.maxBills;
   }
 
   add(bill: Bill): void {
@@ -30,14 +30,14 @@
   }
 
   /** Keeps a peer's bill; false when there is no room for it. */
-  hold(bill: Bill, owner: string, boot: string, heldAt: number): boolean {
-    if (!this.hasRoom()) return false;
+  holdForPeer(bill: Bill, owner: string, boot: string, heldAt: number): boolean {
+    if (!this.hasCapacity()) return false;
     this.held.set(bill.id, {bill, owner, boot, heldAt});
     return true;
   }
 
   /** The bills were read back from the log. */
-  settle(ids: readonly string[]): void {
+  confirm(ids: readonly string[]): void {
     for (const id of ids) {
       this.own.delete(id);
       this.held.delete(id);
@@ -50,12 +50,12 @@
   }
 
   /** Own bills that are still to be settled, oldest first. */
-  pending(): Bill[] {
+  listPending(): Bill[] {
     return [...this.own.values()];
   }
 
   /** Makes the bills of a process that is gone this host's own. */
-  adopt(
+  adoptOrphaned(
     isGone: (owner: string, boot: string, heldAt: number) => boolean,
   ): number {
     let adopted = 0;
--- a/packages/decisions/src/cascade/cascade_candidate.ts
+++ b/packages/decisions/src/cascade/cascade_candidate.ts
@@ -1,10 +1,10 @@
 import type {Version} from '../configuration/version.js';
-import type {PassEstimate} from './pass_estimate.js';
+import type {PassRateEstimate} from './pass_rate_estimate.js';
 
 /** A version that may be a leg, with what is known of it. */
 export interface CascadeCandidate {
   readonly version: Version;
-  readonly estimate: PassEstimate;
+  readonly estimate: PassRateEstimate;
   /** The expected time to a whole answer, in ms. */
   readonly expectedMs: number;
 }
--- a/packages/decisions/src/cascade/cascade_request.ts
+++ b/packages/decisions/src/cascade/cascade_request.ts
@@ -7,6 +7,6 @@
   /** How long a rating is waited for, in ms. */
   readonly ratingWaitMs: number;
   /** Whether the answer can be held until it is rated. */
-  readonly holdable: boolean;
+  readonly canHoldAnswer: boolean;
   readonly now: number;
 }
--- a/packages/decisions/src/cascade/cheap_only.ts
+++ b/packages/decisions/src/cascade/cheapest_model_only.ts
@@ -3,7 +3,7 @@
 import type {CascadePolicy} from './cascade_policy.js';
 
 /** A baseline: the cheapest model answers everything. */
-export class CheapOnly implements CascadePolicy {
+export class CheapestModelOnly implements CascadePolicy {
   plan(candidates: readonly CascadeCandidate[]): CascadePlan {
     const cheapest = [...candidates].sort(
       (a, b) => a.version.cost - b.version.cost,
--- a/packages/decisions/src/cascade/learned_cascade.test.ts
+++ b/packages/decisions/src/cascade/learned_cascade.test.ts
@@ -4,7 +4,7 @@
 import type {Version} from '../configuration/version.js';
 import type {CascadeRequest} from './cascade_request.js';
 import {LearnedCascade} from './learned_cascade.js';
-import {PassEstimate} from './pass_estimate.js';
+import {PassRateEstimate} from './pass_rate_estimate.js';
 
 const cheap: Version = {
   id: 'small@1',
@@ -24,7 +24,7 @@
   quality: 0.9,
   remainingMs: 10_000,
   ratingWaitMs: 1_000,
-  holdable: true,
+  canHoldAnswer: true,
   now: 0,
 };
 
@@ -32,18 +32,18 @@
   passPart: number,
   overrides: Partial<CascadeRequest> = {},
 ): string[] {
-  const estimate = new PassEstimate({halfLifeMs: 1e9});
+  const estimate = new PassRateEstimate({halfLifeMs: 1e9});
   for (let count = 0; count < 200; count++)
-    estimate.add(count < 200 * passPart, 0);
+    estimate.addRating(count < 200 * passPart, 0);
   const candidates = [
     {version: cheap, estimate, expectedMs: 500},
     {
       version: strong,
-      estimate: new PassEstimate({halfLifeMs: 1e9}),
+      estimate: new PassRateEstimate({halfLifeMs: 1e9}),
       expectedMs: 500,
     },
   ];
-  const policy = new LearnedCascade({random: new SeededRandom(1), explore: 0});
+  const policy = new LearnedCascade({random: new SeededRandom(1), explorationRate: 0});
   return policy
     .plan(candidates, {...request, ...overrides})
     .legs.map(leg => leg.id);
@@ -56,6 +56,6 @@
 });
 
 void test('the strong model answers alone when the answer cannot be held or both legs do not fit the deadline', () => {
-  assert.deepEqual(legsFor(0.6, {holdable: false}), ['large@1']);
+  assert.deepEqual(legsFor(0.6, {canHoldAnswer: false}), ['large@1']);
   assert.deepEqual(legsFor(0.6, {remainingMs: 1_500}), ['large@1']);
 });
--- a/packages/decisions/src/cascade/learned_cascade.ts
+++ b/packages/decisions/src/cascade/learned_cascade.ts
@@ -9,14 +9,14 @@
   /** Standard deviations below the mean that a model must clear to answer alone. */
   readonly deviations?: number;
   /** Ratings needed before an estimate is believed. */
-  readonly ratingsLeast?: number;
+  readonly minRatings?: number;
   /** The part of requests spent on trying the cheap model when it is not believed to pay. */
-  readonly explore?: number;
+  readonly explorationRate?: number;
 }
 
 const DEVIATIONS = 1.65;
-const RATINGS_LEAST = 20;
-const EXPLORE = 0.02;
+const MIN_RATINGS = 20;
+const EXPLORATION_RATE = 0.02;
 
 /**
  * The cheapest plan that meets the quality target. A cheap model answers alone
@@ -30,8 +30,8 @@
   constructor(options: Options) {
     this.options = {
       deviations: DEVIATIONS,
-      ratingsLeast: RATINGS_LEAST,
-      explore: EXPLORE,
+      minRatings: MIN_RATINGS,
+      explorationRate: EXPLORATION_RATE,
       ...options,
     };
   }
@@ -47,9 +47,9 @@
     const cheap = candidates[0];
     if (alone === cheap || cheap === strong) return {legs: [cheap.version]};
     const fallback = alone ?? strong;
-    if (!request.holdable || !this.fits(cheap, fallback, request))
+    if (!request.canHoldAnswer || !this.fitsDeadline(cheap, fallback, request))
       return {legs: [fallback.version]};
-    return this.pays(cheap, fallback, request)
+    return this.shouldTryCheap(cheap, fallback, request)
       ? {legs: [cheap.version, fallback.version]}
       : {legs: [fallback.version]};
   }
@@ -58,14 +58,14 @@
     candidate: CascadeCandidate,
     request: CascadeRequest,
   ): boolean {
-    if (candidate.estimate.weight() < this.options.ratingsLeast) return false;
+    if (candidate.estimate.effectiveRatings() < this.options.minRatings) return false;
     return (
       candidate.estimate.lowerBound(request.now, this.options.deviations) >=
       request.quality
     );
   }
 
-  private fits(
+  private fitsDeadline(
     cheap: CascadeCandidate,
     strong: CascadeCandidate,
     request: CascadeRequest,
@@ -76,12 +76,12 @@
     );
   }
 
-  private pays(
+  private shouldTryCheap(
     cheap: CascadeCandidate,
     strong: CascadeCandidate,
     request: CascadeRequest,
   ): boolean {
-    if (this.options.random.next() < this.options.explore) return true;
+    if (this.options.random.next() < this.options.explorationRate) return true;
     const threshold = cheap.version.cost / strong.version.cost;
     return cheap.estimate.mean(request.now) > threshold;
   }
--- a/packages/decisions/src/cascade/pass_estimate.ts
+++ b/packages/decisions/src/cascade/pass_rate_estimate.ts
@@ -3,17 +3,17 @@
   readonly halfLifeMs: number;
 }
 
-const PRIOR = 1;
+const PRIOR_RATINGS = 1;
 
 /** A Beta posterior of the probability that an answer is rated good, with exponential forgetting. */
-export class PassEstimate {
+export class PassRateEstimate {
   private good = 0;
   private bad = 0;
   private updatedAt = 0;
 
   constructor(private readonly options: Options) {}
 
-  add(passed: boolean, now: number): void {
+  addRating(passed: boolean, now: number): void {
     this.decay(now);
     if (passed) this.good++;
     else this.bad++;
@@ -22,19 +22,19 @@
   /** The posterior mean. */
   mean(now: number): number {
     this.decay(now);
-    return (this.good + PRIOR) / (this.weight() + 2 * PRIOR);
+    return (this.good + PRIOR_RATINGS) / (this.effectiveRatings() + 2 * PRIOR_RATINGS);
   }
 
   /** The mean less `deviations` standard deviations, at least 0. */
   lowerBound(now: number, deviations: number): number {
     const mean = this.mean(now);
-    const total = this.weight() + 2 * PRIOR;
+    const total = this.effectiveRatings() + 2 * PRIOR_RATINGS;
     const deviation = Math.sqrt((mean * (1 - mean)) / (total + 1));
     return Math.max(0, mean - deviations * deviation);
   }
 
   /** The effective number of ratings. */
-  weight(): number {
+  effectiveRatings(): number {
     return this.good + this.bad;
   }
 
--- a/packages/decisions/src/cascade/strong_only.ts
+++ b/packages/decisions/src/cascade/strongest_model_only.ts
@@ -3,7 +3,7 @@
 import type {CascadePolicy} from './cascade_policy.js';
 
 /** A baseline: the strongest model answers everything. */
-export class StrongOnly implements CascadePolicy {
+export class StrongestModelOnly implements CascadePolicy {
   plan(candidates: readonly CascadeCandidate[]): CascadePlan {
     return {legs: [candidates[candidates.length - 1].version]};
   }
--- a/packages/decisions/src/configuration/apply_intent.ts
+++ b/packages/decisions/src/configuration/apply_intent.ts
@@ -33,18 +33,18 @@
     case 'roll-out':
       return startRollOut(config, intent);
     case 'retire':
-      return changeVersion(config, intent.version, retire);
+      return changeVersion(config, intent.version, retireVersion);
     case 'withdraw':
-      return changeVersion(config, intent.version, withdraw);
+      return changeVersion(config, intent.version, withdrawVersion);
     case 'resume-roll-out':
-      return changeVersion(config, intent.version, resume);
+      return changeVersion(config, intent.version, resumeRollOut);
     case 'advance-roll-out':
       return changeVersion(config, intent.version, version =>
-        advance(version, intent.step),
+        advanceRollOut(version, intent.step),
       );
     case 'halt-version':
       return changeVersion(config, intent.version, version =>
-        halt(version, intent.evidence),
+        haltVersion(version, intent.evidence),
       );
     case 'drain-host':
       return Right({
@@ -113,19 +113,19 @@
   });
 }
 
-function retire(version: Version): Either<Refusal, Version> {
+function retireVersion(version: Version): Either<Refusal, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn already`);
   return Right({...version, state: VersionState.RETIRING, rollOut: undefined});
 }
 
-function withdraw(version: Version): Either<Refusal, Version> {
+function withdrawVersion(version: Version): Either<Refusal, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn already`);
   return Right({...version, state: VersionState.WITHDRAWN, rollOut: undefined});
 }
 
-function resume(version: Version): Either<Refusal, Version> {
+function resumeRollOut(version: Version): Either<Refusal, Version> {
   if (version.suspect === undefined)
     return Left(`version ${version.id} is not halted`);
   if (version.state === VersionState.WITHDRAWN)
@@ -133,7 +133,7 @@
   return Right({...version, suspect: undefined});
 }
 
-function advance(version: Version, step: number): Either<Refusal, Version> {
+function advanceRollOut(version: Version, step: number): Either<Refusal, Version> {
   if (!version.rollOut || version.suspect !== undefined)
     return Left(`version ${version.id} is not rolling out`);
   if (step !== version.rollOut.step + 1)
@@ -143,7 +143,7 @@
   return Right({...version, rollOut: {...version.rollOut, step}});
 }
 
-function halt(version: Version, evidence: string): Either<Refusal, Version> {
+function haltVersion(version: Version, evidence: string): Either<Refusal, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn`);
   if (version.suspect !== undefined)
--- a/packages/decisions/src/configuration/configuration.ts
+++ b/packages/decisions/src/configuration/configuration.ts
@@ -1,6 +1,6 @@
 import type {Place} from './place.js';
 import type {ServiceDefinition} from './service_definition.js';
-import type {Verdict} from './verdict.js';
+import type {IntentVerdict} from './intent_verdict.js';
 import type {Version} from './version.js';
 import type {Workspace} from './workspace.js';
 
@@ -20,5 +20,5 @@
   /** The offset at which each object last changed, by object key. */
   readonly revisions: Readonly<Record<string, number>>;
   /** The newest verdicts, oldest first; bounded. */
-  readonly verdicts: readonly Verdict[];
+  readonly verdicts: readonly IntentVerdict[];
 }
--- a/packages/decisions/src/configuration/describe_hazards.ts
+++ b/packages/decisions/src/configuration/describe_hazards.ts
@@ -8,10 +8,10 @@
   after: Configuration,
   intent: Intent,
 ): string[] {
-  const hazards = tasksLosingTheirLastVersion(before, after);
+  const hazards = findTasksLosingLastVersion(before, after);
   if (
     intent.kind === 'roll-out' &&
-    !versionIsAllowedSomewhere(after, intent.version)
+    !isAllowedForAnyTask(after, intent.version)
   ) {
     hazards.push(
       `no workspace allows ${intent.version} yet; file allow-version for each task that should use it`,
@@ -38,24 +38,24 @@
   return hazards;
 }
 
-function tasksLosingTheirLastVersion(
+function findTasksLosingLastVersion(
   before: Configuration,
   after: Configuration,
 ): string[] {
-  return tasksWithoutVersion(after)
-    .filter(name => !tasksWithoutVersion(before).includes(name))
+  return findTasksWithoutVersion(after)
+    .filter(name => !findTasksWithoutVersion(before).includes(name))
     .map(name => `${name} is left with no version that takes new work`);
 }
 
-function tasksWithoutVersion(config: Configuration): string[] {
+function findTasksWithoutVersion(config: Configuration): string[] {
   return Object.values(config.workspaces).flatMap(workspace =>
     Object.entries(workspace.tasks)
-      .filter(([, task]) => !task.versions.some(id => takesNewWork(config, id)))
+      .filter(([, task]) => !task.versions.some(id => acceptsNewWork(config, id)))
       .map(([task]) => `task ${task} of workspace ${workspace.id}`),
   );
 }
 
-function takesNewWork(config: Configuration, id: string): boolean {
+function acceptsNewWork(config: Configuration, id: string): boolean {
   const version = config.versions[id];
   if (!version || version.suspect !== undefined) return false;
   return (
@@ -64,7 +64,7 @@
   );
 }
 
-function versionIsAllowedSomewhere(config: Configuration, id: string): boolean {
+function isAllowedForAnyTask(config: Configuration, id: string): boolean {
   return Object.values(config.workspaces).some(workspace =>
     Object.values(workspace.tasks).some(task => task.versions.includes(id)),
   );
