--- a/packages/decisions/src/configuration/describe_steps.ts
+++ b/packages/decisions/src/configuration/describe_steps.ts
@@ -1,7 +1,7 @@
 import type {Configuration} from './configuration.js';
 import type {Intent} from './intent.js';
 
-const IN_FORCE = 'wait until every host reports the configuration in force';
+const WAIT_UNTIL_IN_FORCE = 'wait until every host reports the configuration in force';
 
 /** The steps of an intent, in words, in the order in which they happen. */
 export function describeSteps(config: Configuration, intent: Intent): string[] {
@@ -9,25 +9,25 @@
     case 'set-workspace':
       return [
         `${config.workspaces[intent.workspace.id] ? 'replace' : 'create'} workspace ${intent.workspace.id}`,
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'allow-version':
       return [
         `${intent.allowed ? 'allow' : 'forbid'} ${intent.version} for task ${intent.task} of workspace ${intent.workspace}`,
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'set-limit':
       return [
         intent.limit
           ? `limit workspace ${intent.workspace} to ${intent.limit.requestsPerSecond} requests/s`
           : `lift the limit of workspace ${intent.workspace}`,
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'move-workspace':
       return [
         `new work of workspace ${intent.workspace} goes to ${intent.to} instead of ${config.workspaces[intent.workspace]?.home}`,
         'running work finishes where it is',
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'roll-out':
       return [
@@ -43,17 +43,17 @@
       return [
         `start no new session on ${intent.version}`,
         'sessions that have it go on',
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'withdraw':
       return [
         `give ${intent.version} no new work`,
         'its sessions end at their next turn',
         'streams already running finish',
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
     case 'resume-roll-out':
-      return [`lift the halt of ${intent.version}`, IN_FORCE];
+      return [`lift the halt of ${intent.version}`, WAIT_UNTIL_IN_FORCE];
     case 'advance-roll-out':
       return [`move ${intent.version} to step ${intent.step}`];
     case 'halt-version':
@@ -76,7 +76,7 @@
         `new work of ${intent.place} goes to ${intent.to}`,
         `running work in ${intent.place} finishes there`,
         'wait until every host reports none running there',
-        IN_FORCE,
+        WAIT_UNTIL_IN_FORCE,
       ];
   }
 }
--- a/packages/decisions/src/configuration/fold_record.test.ts
+++ b/packages/decisions/src/configuration/fold_record.test.ts
@@ -5,8 +5,8 @@
 import {emptyConfiguration} from './empty_configuration.js';
 import {foldRecord} from './fold_record.js';
 import type {Intent} from './intent.js';
-import {stateDigest} from './state_digest.js';
-import {touchedObjects} from './touched_objects.js';
+import {computeStateDigest} from './compute_state_digest.js';
+import {listTouchedObjects} from './list_touched_objects.js';
 
 const seed: ConfigRecord = {
   type: 'seed',
@@ -30,7 +30,7 @@
   id: string,
   intent: Intent,
 ): ConfigRecord {
-  const keys = touchedObjects(intent);
+  const keys = listTouchedObjects(intent);
   const basis = Object.fromEntries(
     keys.map(key => [key, config.revisions[key] ?? -1]),
   );
@@ -67,7 +67,7 @@
     type: 'snapshot',
     id: 'snapshot',
     upTo: 0,
-    digest: stateDigest(emptyConfiguration),
+    digest: computeStateDigest(emptyConfiguration),
     state: seeded,
   };
   assert.equal(foldRecord(emptyConfiguration, 5, snapshot).offset, -1);
--- a/packages/decisions/src/configuration/fold_record.ts
+++ b/packages/decisions/src/configuration/fold_record.ts
@@ -1,14 +1,14 @@
 import {applyIntent} from './apply_intent.js';
 import type {ConfigRecord} from './config_record.js';
 import type {Configuration} from './configuration.js';
-import {intentSubject} from './intent_subject.js';
+import {getIntentSubject} from './get_intent_subject.js';
 import type {Seed} from './seed.js';
-import {stateDigest} from './state_digest.js';
-import {touchedObjects} from './touched_objects.js';
-import type {Verdict} from './verdict.js';
+import {computeStateDigest} from './compute_state_digest.js';
+import {listTouchedObjects} from './list_touched_objects.js';
+import type {IntentVerdict} from './intent_verdict.js';
 
 /** Verdicts kept for operators and for recognising an intent sent twice. */
-const VERDICTS_KEPT = 512;
+const MAX_VERDICTS = 512;
 
 /**
  * Takes one record of the log into the configuration. Pure and total, so every
@@ -24,9 +24,9 @@
   const next = {...config, offset};
   switch (record.type) {
     case 'seed':
-      return config.offset === -1 ? plant(next, record.seed) : next;
+      return config.offset === -1 ? applySeed(next, record.seed) : next;
     case 'snapshot':
-      return config.offset === -1 ? restore(next, record) : next;
+      return config.offset === -1 ? restoreSnapshot(next, record) : next;
     case 'intent':
       return foldIntent(next, record);
   }
@@ -42,41 +42,41 @@
     intentId: record.id,
     offset: config.offset,
     kind: record.intent.kind,
-    subject: intentSubject(record.intent),
+    subject: getIntentSubject(record.intent),
     by: record.by,
   };
-  const overtaken = overtakenObject(config, record);
+  const overtaken = findChangedObject(config, record);
   if (overtaken !== undefined) {
     const lostTo = config.verdicts.find(
       verdict => verdict.offset === config.revisions[overtaken],
     )?.intentId;
     const reason = `${overtaken} changed after the plan was made; ask for a new plan`;
-    return withVerdict(config, {...common, accepted: false, lostTo, reason});
+    return recordVerdict(config, {...common, accepted: false, lostTo, reason});
   }
   return applyIntent(config, record.intent).caseOf({
-    Left: reason => withVerdict(config, {...common, accepted: false, reason}),
+    Left: reason => recordVerdict(config, {...common, accepted: false, reason}),
     Right: changed =>
-      withVerdict(withRevisions(changed, touchedObjects(record.intent)), {
+      recordVerdict(recordRevisions(changed, listTouchedObjects(record.intent)), {
         ...common,
         accepted: true,
       }),
   });
 }
 
-function overtakenObject(
+function findChangedObject(
   config: Configuration,
   record: Extract<ConfigRecord, {type: 'intent'}>,
 ): string | undefined {
-  return touchedObjects(record.intent).find(
-    key => revisionOf(config, key) !== record.basis[key],
+  return listTouchedObjects(record.intent).find(
+    key => getRevision(config, key) !== record.basis[key],
   );
 }
 
-function revisionOf(config: Configuration, key: string): number {
+function getRevision(config: Configuration, key: string): number {
   return config.revisions[key] ?? -1;
 }
 
-function withRevisions(
+function recordRevisions(
   config: Configuration,
   keys: readonly string[],
 ): Configuration {
@@ -84,14 +84,14 @@
   return {...config, revisions: {...config.revisions, ...changed}};
 }
 
-function withVerdict(config: Configuration, verdict: Verdict): Configuration {
+function recordVerdict(config: Configuration, verdict: IntentVerdict): Configuration {
   return {
     ...config,
-    verdicts: [...config.verdicts, verdict].slice(-VERDICTS_KEPT),
+    verdicts: [...config.verdicts, verdict].slice(-MAX_VERDICTS),
   };
 }
 
-function plant(config: Configuration, seed: Seed): Configuration {
+function applySeed(config: Configuration, seed: Seed): Configuration {
   const byId = <T extends {id: string}>(items: readonly T[]) =>
     Object.fromEntries(items.map(item => [item.id, item]));
   return {
@@ -103,11 +103,11 @@
   };
 }
 
-function restore(
+function restoreSnapshot(
   config: Configuration,
   record: Extract<ConfigRecord, {type: 'snapshot'}>,
 ): Configuration {
-  if (stateDigest(record.state) !== record.digest)
+  if (computeStateDigest(record.state) !== record.digest)
     return {...config, offset: -1};
   return record.state;
 }
--- a/packages/decisions/src/configuration/intent_subject.ts
+++ b/packages/decisions/src/configuration/get_intent_subject.ts
@@ -1,7 +1,7 @@
 import type {Intent} from './intent.js';
 
 /** The object that an intent is about, as shown in lists. */
-export function intentSubject(intent: Intent): string {
+export function getIntentSubject(intent: Intent): string {
   if (intent.kind === 'set-workspace') return intent.workspace.id;
   if (intent.kind === 'undrain')
     return intent.host ?? intent.runner ?? String(intent.place);
--- a/packages/decisions/src/configuration/intent.ts
+++ b/packages/decisions/src/configuration/intent.ts
@@ -1,9 +1,9 @@
 import {z} from 'zod';
 import {schemas} from './schemas.js';
 
-const {name, versionId, part, positive} = schemas;
-const EXPOSURE_DEFAULT = 100;
-const STEPS_DEFAULT = [0.01, 0.1, 0.5, 1];
+const {name, versionId, fraction: part, positive} = schemas;
+const DEFAULT_EXPOSURE = 100;
+const DEFAULT_STEPS = [0.01, 0.1, 0.5, 1];
 const hostOrRunner = z
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'needs the id of a host or runner');
@@ -26,8 +26,8 @@
     version: versionId,
     cost: positive,
     strength: positive,
-    steps: z.array(part).min(1).max(10).default(STEPS_DEFAULT),
-    exposure: z.int().positive().default(EXPOSURE_DEFAULT),
+    steps: z.array(part).min(1).max(10).default(DEFAULT_STEPS),
+    exposure: z.int().positive().default(DEFAULT_EXPOSURE),
   }),
   z.strictObject({kind: z.literal('retire'), version: versionId}),
   z.strictObject({kind: z.literal('withdraw'), version: versionId}),
--- a/packages/decisions/src/configuration/plan.ts
+++ b/packages/decisions/src/configuration/intent_plan.ts
@@ -1,7 +1,7 @@
 import type {Intent} from './intent.js';
 
 /** What an intent would do, before anything is changed. */
-export interface Plan {
+export interface IntentPlan {
   /** The id that the confirmed intent will have. */
   readonly id: string;
   readonly intent: Intent;
--- a/packages/decisions/src/configuration/verdict.ts
+++ b/packages/decisions/src/configuration/intent_verdict.ts
@@ -1,5 +1,5 @@
 /** What became of an intent when the hosts folded it. */
-export interface Verdict {
+export interface IntentVerdict {
   readonly intentId: string;
   readonly accepted: boolean;
   /** The record's offset in the log. */
--- a/packages/decisions/src/configuration/touched_objects.ts
+++ b/packages/decisions/src/configuration/list_touched_objects.ts
@@ -2,7 +2,7 @@
 import type {ObjectKey} from './object_key.js';
 
 /** The objects whose revisions an intent depends on; two intents conflict when these overlap. */
-export function touchedObjects(intent: Intent): ObjectKey[] {
+export function listTouchedObjects(intent: Intent): ObjectKey[] {
   switch (intent.kind) {
     case 'set-workspace':
       return [`workspace/${intent.workspace.id}`];
@@ -23,13 +23,13 @@
     case 'drain-runner':
       return [`runner/${intent.runner}`];
     case 'undrain':
-      return [undrainTarget(intent)];
+      return [getUndrainTarget(intent)];
     case 'hand-over-place':
       return [`place/${intent.place}`, `place/${intent.to}`];
   }
 }
 
-function undrainTarget(intent: Extract<Intent, {kind: 'undrain'}>): ObjectKey {
+function getUndrainTarget(intent: Extract<Intent, {kind: 'undrain'}>): ObjectKey {
   if (intent.host) return `host/${intent.host}`;
   if (intent.runner) return `runner/${intent.runner}`;
   return `place/${intent.place}`;
--- a/packages/decisions/src/configuration/plan_intent.ts
+++ b/packages/decisions/src/configuration/plan_intent.ts
@@ -5,8 +5,8 @@
 import {describeHazards} from './describe_hazards.js';
 import {describeSteps} from './describe_steps.js';
 import type {Intent} from './intent.js';
-import type {Plan} from './plan.js';
-import {touchedObjects} from './touched_objects.js';
+import type {IntentPlan} from './intent_plan.js';
+import {listTouchedObjects} from './list_touched_objects.js';
 
 interface Options {
   readonly config: Configuration;
@@ -16,23 +16,23 @@
 }
 
 /** Works out what an intent would do. The intent is tried on a copy, so an impossible one is refused here. */
-export function planIntent(options: Options): Either<Problem, Plan> {
+export function planIntent(options: Options): Either<Problem, IntentPlan> {
   const {config, intent, id, lapsesAt} = options;
   return applyIntent(config, intent)
-    .mapLeft(refusalProblem)
+    .mapLeft(createRefusalProblem)
     .map(after => ({
       id,
       intent,
       steps: describeSteps(config, intent),
       hazards: describeHazards(config, after, intent),
       basis: Object.fromEntries(
-        touchedObjects(intent).map(key => [key, config.revisions[key] ?? -1]),
+        listTouchedObjects(intent).map(key => [key, config.revisions[key] ?? -1]),
       ),
       lapsesAt,
     }));
 }
 
-function refusalProblem(refusal: string): Problem {
+function createRefusalProblem(refusal: string): Problem {
   return new Problem({
     kind: ProblemKind.CONFLICT,
     what: refusal,
--- a/packages/decisions/src/configuration/schemas.ts
+++ b/packages/decisions/src/configuration/schemas.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {PriorityClass} from './priority_class.js';
 import {VersionState} from './version_state.js';
-import {WhenStale} from './when_stale.js';
+import {StalePolicy} from './stale_policy.js';
 
 const NAME = /^[a-z0-9][a-z0-9-]{0,62}$/;
 const VERSION_ID = /^[a-z0-9][a-z0-9-]{0,62}@[a-z0-9][a-z0-9.-]{0,30}$/;
@@ -13,12 +13,12 @@
 const versionId = z
   .string()
   .regex(VERSION_ID, 'needs a version like geo-large@4');
-const part = z.number().min(0).max(1);
+const fraction = z.number().min(0).max(1);
 const positive = z.number().positive();
 
 const rollOut = z.strictObject({
   /** The part of its model's work at each step, 0 to 1, growing. */
-  steps: z.array(part).min(1).max(10),
+  steps: z.array(fraction).min(1).max(10),
   /** The current step's index. */
   step: z.int().min(0),
   /** How many answers may be out without a rating, over all hosts together. */
@@ -41,7 +41,7 @@
 const task = z.strictObject({
   priority: z.enum(PriorityClass).default(PriorityClass.INTERACTIVE),
   /** The part of answers that must be rated good, 0 to 1. */
-  quality: part.default(0.9),
+  quality: fraction.default(0.9),
   versions: z.array(versionId).max(64),
   /** Used where the caller names no deadline, in ms. */
   deadlineMs: z.int().positive().default(60_000),
@@ -63,7 +63,7 @@
   home: name,
   /** Whether its work may run in another place when waiting at home costs more. */
   crossing: z.boolean().default(false),
-  whenStale: z.enum(WhenStale).default(WhenStale.SERVE),
+  whenStale: z.enum(StalePolicy).default(StalePolicy.SERVE),
   /** Its part in fair queueing against other workspaces of the same class. */
   weight: positive.default(1),
   limit: limit.optional(),
@@ -97,7 +97,7 @@
 export const schemas = {
   name,
   versionId,
-  part,
+  fraction: fraction,
   positive,
   rollOut,
   version,
--- a/packages/decisions/src/limits/admission_queue.ts
+++ b/packages/decisions/src/limits/admission_queue.ts
@@ -1,13 +1,13 @@
 import type {Clock} from '@bayspool/kernel';
 import {Problem, ProblemKind} from '@bayspool/kernel';
-import type {QueueOrder} from './queue_order.js';
-import type {WaitingItem} from './waiting_item.js';
+import type {QueueDiscipline} from './queue_discipline.js';
+import type {QueuedRequest} from './queued_request.js';
 
 interface Options {
   readonly clock: Clock;
-  readonly order: QueueOrder;
+  readonly discipline: QueueDiscipline;
   /** How many items of each class may wait. */
-  readonly most: number;
+  readonly maxPerClass: number;
 }
 
 interface Entry<Item, Grant> {
@@ -24,7 +24,7 @@
  * A bounded queue before the runners. An item leaves it with what `pass` gives
  * (a place at a runner), or with a refusal; in both cases no work has begun.
  */
-export class AdmissionQueue<Item extends WaitingItem, Grant> {
+export class AdmissionQueue<Item extends QueuedRequest, Grant> {
   private entries: Entry<Item, Grant>[] = [];
   private joined = 0;
 
@@ -35,26 +35,26 @@
   }
 
   /** How many of one class wait. */
-  lengthOf(priority: string): number {
+  countWaiting(priority: string): number {
     return this.entries.filter(entry => entry.item.priority === priority)
       .length;
   }
 
   /** Joins the queue; rejects at once when it is full, and later when the deadline passes or `signal` aborts. */
-  join(item: Item, signal: AbortSignal): Promise<Grant> {
-    if (this.lengthOf(item.priority) >= this.options.most)
-      return Promise.reject(fullProblem());
+  enqueue(item: Item, signal: AbortSignal): Promise<Grant> {
+    if (this.countWaiting(item.priority) >= this.options.maxPerClass)
+      return Promise.reject(createQueueFullProblem());
     return new Promise((resolve, reject) => {
       const timer = this.options.clock.after(
         item.deadlineAt - this.options.clock.now(),
         () => {
           leave();
-          reject(deadlineProblem());
+          reject(createDeadlineProblem());
         },
       );
       const entry: Entry<Item, Grant> = {
         item,
-        tag: this.options.order.tag(item),
+        tag: this.options.discipline.assignTag(item),
         joined: this.joined++,
         grant: grant => {
           leave();
@@ -65,7 +65,7 @@
           reject(problem);
         },
       };
-      const abort = () => entry.refuse(cancelledProblem());
+      const abort = () => entry.refuse(createCancelledProblem());
       const leave = () => {
         timer.cancel();
         signal.removeEventListener('abort', abort);
@@ -81,7 +81,7 @@
    * that can go now, nothing for one that must wait on, and a problem for one that
    * can never go.
    */
-  pass(take: (item: Item) => Grant | Problem | undefined): void {
+  admit(take: (item: Item) => Grant | Problem | undefined): void {
     for (const entry of [...this.entries]) {
       const result = take(entry.item);
       if (result === undefined) continue;
@@ -89,23 +89,23 @@
         entry.refuse(result);
         continue;
       }
-      this.options.order.took(entry.item, entry.tag);
+      this.options.discipline.recordDequeue(entry.item, entry.tag);
       entry.grant(result);
     }
   }
 
   private insert(entry: Entry<Item, Grant>): void {
     let index = this.entries.length;
-    while (index > 0 && goesBefore(entry, this.entries[index - 1])) index--;
+    while (index > 0 && precedes(entry, this.entries[index - 1])) index--;
     this.entries.splice(index, 0, entry);
   }
 }
 
-function goesBefore<I, G>(a: Entry<I, G>, b: Entry<I, G>): boolean {
+function precedes<I, G>(a: Entry<I, G>, b: Entry<I, G>): boolean {
   return a.tag < b.tag || (a.tag === b.tag && a.joined < b.joined);
 }
 
-function fullProblem(): Problem {
+function createQueueFullProblem(): Problem {
   return new Problem({
     kind: ProblemKind.OVERLOADED,
     what: 'too many requests of this class wait already',
@@ -114,7 +114,7 @@
   });
 }
 
-function deadlineProblem(): Problem {
+function createDeadlineProblem(): Problem {
   return new Problem({
     kind: ProblemKind.DEADLINE,
     what: 'no runner was free before the deadline',
@@ -124,7 +124,7 @@
   });
 }
 
-function cancelledProblem(): Problem {
+function createCancelledProblem(): Problem {
   return new Problem({
     kind: ProblemKind.CANCELLED,
     what: 'the caller left before the request was dispatched',
--- a/packages/decisions/src/limits/wait_estimate.ts
+++ b/packages/decisions/src/limits/queue_wait_estimator.ts
@@ -7,7 +7,7 @@
 }
 
 /** Predicts the wait in the queue from the rate at which items leave it. */
-export class WaitEstimate {
+export class QueueWaitEstimator {
   private rate = 0;
   private lastAt: number;
 
@@ -15,13 +15,13 @@
     this.lastAt = options.clock.now();
   }
 
-  departed(): void {
+  recordDeparture(): void {
     this.decay();
     this.rate += 1 / this.options.windowMs;
   }
 
   /** The expected wait in ms behind `ahead` items; 0 while nothing is known. */
-  waitBehind(ahead: number): number {
+  estimateWaitMs(ahead: number): number {
     this.decay();
     if (ahead === 0 || this.rate <= 0) return 0;
     return ahead / this.rate;
--- a/packages/decisions/src/limits/waiting_item.ts
+++ b/packages/decisions/src/limits/queued_request.ts
@@ -1,7 +1,7 @@
 import type {PriorityClass} from '../configuration/priority_class.js';
 
 /** A request in the admission queue. */
-export interface WaitingItem {
+export interface QueuedRequest {
   readonly workspace: string;
   readonly weight: number;
   readonly priority: PriorityClass;
--- /dev/null
+++ b/packages/decisions/src/limits/start_time_fair_queueing.ts
@@ -0,0 +1,50 @@
+import {PriorityClass} from '../configuration/priority_class.js';
+import type {QueueDiscipline} from './queue_discipline.js';
+import type {QueuedRequest} from './queued_request.js';
+
+/** Parts of the capacity that interactive and bulk work get while both wait. Urgent work goes before all. */
+const CLASS_WEIGHTS = {
+  [PriorityClass.URGENT]: 1,
+  [PriorityClass.INTERACTIVE]: 8,
+  [PriorityClass.BULK]: 1,
+} as const;
+const URGENT_TAG_OFFSET = -1e15;
+
+/**
+ * Start-time fair queueing over workspaces: an item's tag is the later of the
+ * virtual time and its flow's last tag plus the cost over the weight. Urgent
+ * work has a band of its own ahead of the rest, fair within itself.
+ */
+export class StartTimeFairQueueing implements QueueDiscipline {
+  private readonly finishTags = new Map<string, number>();
+  private readonly virtualTime = {urgent: 0, other: 0};
+
+  assignTag(item: QueuedRequest): number {
+    const band = selectBand(item);
+    const flow = `${item.priority}/${item.workspace}`;
+    const start = Math.max(this.virtualTime[band], this.finishTags.get(flow) ?? 0);
+    this.finishTags.set(
+      flow,
+      start + item.cost / (item.weight * CLASS_WEIGHTS[item.priority]),
+    );
+    return band === 'urgent' ? URGENT_TAG_OFFSET + start : start;
+  }
+
+  recordDequeue(item: QueuedRequest, tag: number): void {
+    const band = selectBand(item);
+    const start = band === 'urgent' ? tag - URGENT_TAG_OFFSET : tag;
+    this.virtualTime[band] = Math.max(this.virtualTime[band], start);
+    this.evictIdleFlows();
+  }
+
+  private evictIdleFlows(): void {
+    for (const [flow, finish] of this.finishTags) {
+      const band = flow.startsWith(PriorityClass.URGENT) ? 'urgent' : 'other';
+      if (finish <= this.virtualTime[band]) this.finishTags.delete(flow);
+    }
+  }
+}
+
+function selectBand(item: QueuedRequest): 'urgent' | 'other' {
+  return item.priority === PriorityClass.URGENT ? 'urgent' : 'other';
+}
--- a/packages/decisions/src/limits/token_bucket.ts
+++ b/packages/decisions/src/limits/token_bucket.ts
@@ -13,18 +13,18 @@
   private perSecond: number;
   private burst: number;
   private tokens: number;
-  private filledAt: number;
+  private refilledAt: number;
 
   constructor(private readonly options: Options) {
     this.perSecond = options.perSecond;
     this.burst = options.burst;
     this.tokens = options.burst;
-    this.filledAt = options.clock.now();
+    this.refilledAt = options.clock.now();
   }
 
   /** Changes the rate; what was saved is kept as far as it fits the new burst. */
   resize(perSecond: number, burst: number): void {
-    this.fill();
+    this.refill();
     this.perSecond = perSecond;
     this.burst = burst;
     this.tokens = Math.min(this.tokens, burst);
@@ -32,7 +32,7 @@
 
   /** Takes one token, or gives the ms until there will be one. */
   take(): number {
-    this.fill();
+    this.refill();
     if (this.tokens >= 1) {
       this.tokens--;
       return 0;
@@ -42,12 +42,12 @@
       : SECOND_MS;
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.options.clock.now();
     this.tokens = Math.min(
       this.burst,
-      this.tokens + ((now - this.filledAt) / SECOND_MS) * this.perSecond,
+      this.tokens + ((now - this.refilledAt) / SECOND_MS) * this.perSecond,
     );
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 }
--- a/packages/decisions/src/membership/part_hash.ts
+++ b/packages/decisions/src/membership/hash_digest_part.ts
@@ -1,11 +1,11 @@
 import {createHash} from 'node:crypto';
 
-const LENGTH = 8;
+const HASH_LENGTH = 8;
 
 /** A short name for a part of a digest, equal for equal parts. */
-export function partHash(part: unknown): string {
+export function hashDigestPart(part: unknown): string {
   return createHash('md5')
     .update(JSON.stringify(part))
     .digest('base64url')
-    .slice(0, LENGTH);
+    .slice(0, HASH_LENGTH);
 }
--- a/packages/decisions/src/membership/host_entry.ts
+++ b/packages/decisions/src/membership/host_state.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
-import {VersionCounts} from './version_counts.js';
+import {VersionRatings} from './version_ratings.js';
 
-const hostEntry = z.strictObject({
+const hostState = z.strictObject({
   id: z.string().max(64),
   place: z.string().max(64),
   /** The address of its peer door. */
@@ -20,13 +20,13 @@
   /** Recent requests a second, by workspace; only those that have a limit. */
   demand: z.record(z.string(), z.number()),
   /** Rating counts by version. */
-  evidence: z.record(z.string(), VersionCounts),
+  evidence: z.record(z.string(), VersionRatings),
   /** Versions that this host halted before the log said so. */
   suspects: z.array(z.string()),
 });
 
 /** What a host tells the others of its place about itself. Only the host itself makes a new sequence. */
-type HostEntry = z.output<typeof hostEntry>;
-const HostEntry = hostEntry;
+type HostState = z.output<typeof hostState>;
+const HostState = hostState;
 
-export {HostEntry};
+export {HostState};
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -1,13 +1,13 @@
 import type {Clock} from '@bayspool/kernel';
-import type {HostEntry} from './host_entry.js';
-import {hostsInForce} from './hosts_in_force.js';
+import type {HostState} from './host_state.js';
+import {countHostsAtOffset} from './count_hosts_at_offset.js';
 import type {HostSummary} from './host_summary.js';
 import type {PlaceDigest} from './place_digest.js';
-import type {PlaceNews} from './place_news.js';
-import {rendezvous} from './rendezvous.js';
-import {summarisePlace} from './summarise_place.js';
-import type {VersionCounts} from './version_counts.js';
-import {sumCounts} from './sum_counts.js';
+import type {PlaceDigestDelta} from './place_digest_delta.js';
+import {selectByRendezvousHash} from './select_by_rendezvous_hash.js';
+import {createPlaceDigest} from './create_place_digest.js';
+import type {VersionRatings} from './version_ratings.js';
+import {sumVersionRatings} from './sum_version_ratings.js';
 
 interface Options {
   readonly clock: Clock;
@@ -21,13 +21,13 @@
   readonly forgetAfterMs: number;
 }
 
-interface Member {
-  entry: HostEntry;
+interface KnownHost {
+  entry: HostState;
   /** Local monotonic time of the last message from the host itself. */
   heardAt: number;
 }
 
-interface Neighbour {
+interface ReceivedDigest {
   readonly digest: PlaceDigest;
   readonly hostsHash: string;
   readonly sumsHash: string;
@@ -35,7 +35,7 @@
   readonly madeAt: number;
 }
 
-const RELAYS_A_PLACE = 2;
+const RELAYS_PER_PLACE = 2;
 
 /**
  * Who is there: every host of the own place in full, other places as digests.
@@ -43,43 +43,43 @@
  * doubled and crossed messages do no harm.
  */
 export class Membership {
-  private readonly members = new Map<string, Member>();
-  private readonly neighbours = new Map<string, Neighbour>();
+  private readonly hostsById = new Map<string, KnownHost>();
+  private readonly digestsByPlace = new Map<string, ReceivedDigest>();
 
   constructor(private readonly options: Options) {}
 
   /** Takes an entry of the own place. `direct` says that the host itself sent it just now. */
-  mergeEntry(entry: HostEntry, direct: boolean): void {
+  mergeState(entry: HostState, direct: boolean): void {
     if (entry.place !== this.options.place) return;
     const now = this.options.clock.now();
-    const known = this.members.get(entry.id);
-    if (!known) {
-      this.members.set(entry.id, {entry, heardAt: now});
+    const existing = this.hostsById.get(entry.id);
+    if (!existing) {
+      this.hostsById.set(entry.id, {entry, heardAt: now});
       return;
     }
     const order =
-      entry.incarnation - known.entry.incarnation ||
-      entry.sequence - known.entry.sequence;
+      entry.incarnation - existing.entry.incarnation ||
+      entry.sequence - existing.entry.sequence;
     if (order < 0) return;
-    known.entry = entry;
-    if (direct || order > 0) known.heardAt = now;
+    existing.entry = entry;
+    if (direct || order > 0) existing.heardAt = now;
   }
 
   /** Takes news of another place, unless younger news are known; false when a part that it names is missing here. */
-  mergeNews(news: PlaceNews): boolean {
+  mergeDelta(news: PlaceDigestDelta): boolean {
     const {place, ageMs, hostsHash, sumsHash} = news;
     if (place === this.options.place) return true;
-    const known = this.neighbours.get(place);
+    const previous = this.digestsByPlace.get(place);
     const madeAt = this.options.clock.now() - ageMs;
-    if (known && known.madeAt >= madeAt) return true;
+    if (previous && previous.madeAt >= madeAt) return true;
     const hosts =
       news.hosts ??
-      (known?.hostsHash === hostsHash ? known.digest.hosts : undefined);
+      (previous?.hostsHash === hostsHash ? previous.digest.hosts : undefined);
     const sums =
       news.sums ??
-      (known?.sumsHash === sumsHash ? known.digest.sums : undefined);
+      (previous?.sumsHash === sumsHash ? previous.digest.sums : undefined);
     if (!hosts || !sums) return false;
-    this.neighbours.set(place, {
+    this.digestsByPlace.set(place, {
       digest: {place, ageMs, hosts, sums},
       hostsHash,
       sumsHash,
@@ -88,13 +88,13 @@
     return true;
   }
 
-  get(id: string): HostEntry | undefined {
-    return this.members.get(id)?.entry;
+  get(id: string): HostState | undefined {
+    return this.hostsById.get(id)?.entry;
   }
 
-  isLiving(id: string): boolean {
+  isAlive(id: string): boolean {
     if (id === this.options.self) return true;
-    const member = this.members.get(id);
+    const member = this.hostsById.get(id);
     return (
       member !== undefined &&
       this.options.clock.now() - member.heardAt <= this.options.suspectAfterMs
@@ -102,83 +102,83 @@
   }
 
   /** The living hosts of the own place, this one among them, in order of their ids. */
-  living(): HostEntry[] {
-    return this.known().filter(entry => this.isLiving(entry.id));
+  listAlive(): HostState[] {
+    return this.listKnown().filter(entry => this.isAlive(entry.id));
   }
 
   /** The hosts of the own place that are not yet forgotten, living or gone. */
-  known(): HostEntry[] {
-    this.forget();
-    return [...this.members.values()]
+  listKnown(): HostState[] {
+    this.expireHosts();
+    return [...this.hostsById.values()]
       .map(member => member.entry)
       .sort((a, b) => a.id.localeCompare(b.id));
   }
 
   /** Living hosts of the own place other than this one that are not leaving. */
-  companions(): HostEntry[] {
-    return this.living().filter(
+  listAvailablePeers(): HostState[] {
+    return this.listAlive().filter(
       entry => entry.id !== this.options.self && !entry.leaving,
     );
   }
 
   /** Digests of the other places that are not cut off, with their present age. */
-  digests(): PlaceDigest[] {
+  listDigests(): PlaceDigest[] {
     const now = this.options.clock.now();
-    return [...this.neighbours.values()]
+    return [...this.digestsByPlace.values()]
       .map(({digest, madeAt}) => ({...digest, ageMs: now - madeAt}))
       .filter(digest => digest.ageMs <= this.options.placeSuspectAfterMs);
   }
 
   /** Every place that was ever heard of, with the age of its last digest in ms. */
-  placeAges(): Record<string, number> {
+  computePlaceAges(): Record<string, number> {
     const now = this.options.clock.now();
-    const ages = [...this.neighbours].map(
+    const ages = [...this.digestsByPlace].map(
       ([place, {madeAt}]) => [place, now - madeAt] as const,
     );
     return Object.fromEntries([[this.options.place, 0], ...ages]);
   }
 
   /** The digest of the own place. */
-  ownDigest(): PlaceDigest {
-    return summarisePlace(this.options.place, this.living(), this.known());
+  createOwnDigest(): PlaceDigest {
+    return createPlaceDigest(this.options.place, this.listAlive(), this.listKnown());
   }
 
   /** All living hosts of all places. */
-  allHosts(): HostSummary[] {
-    return [this.ownDigest(), ...this.digests()].flatMap(
+  listAllHosts(): HostSummary[] {
+    return [this.createOwnDigest(), ...this.listDigests()].flatMap(
       digest => digest.hosts,
     );
   }
 
   /** Addresses of hosts with a later configuration; of other places, all hosts where one has it. */
-  addressesAhead(offset: number): string[] {
-    const inside = this.living().filter(entry => entry.offset > offset);
-    const outside = this.digests()
-      .filter(digest => hostsInForce(digest, offset + 1) > 0)
+  listAddressesAhead(offset: number): string[] {
+    const inside = this.listAlive().filter(entry => entry.offset > offset);
+    const outside = this.listDigests()
+      .filter(digest => countHostsAtOffset(digest, offset + 1) > 0)
       .flatMap(digest => digest.hosts);
     return [...inside, ...outside].map(host => host.address);
   }
 
   /** A version's ratings over all hosts. */
-  evidence(version: string): VersionCounts | undefined {
-    const all = [this.ownDigest(), ...this.digests()].map(
+  sumRatings(version: string): VersionRatings | undefined {
+    const all = [this.createOwnDigest(), ...this.listDigests()].map(
       digest => digest.sums.evidence[version],
     );
-    return sumCounts(all.filter(counts => counts !== undefined));
+    return sumVersionRatings(all.filter(counts => counts !== undefined));
   }
 
   /** Versions that some host holds suspect. */
-  suspects(): Set<string> {
-    const own = this.living().flatMap(entry => entry.suspects);
+  collectSuspects(): Set<string> {
+    const own = this.listAlive().flatMap(entry => entry.suspects);
     return new Set([
       ...own,
-      ...this.digests().flatMap(digest => digest.sums.suspects),
+      ...this.listDigests().flatMap(digest => digest.sums.suspects),
     ]);
   }
 
   /** Recent requests a second for a workspace, over all hosts. */
-  demand(workspace: string): number {
-    return [this.ownDigest(), ...this.digests()].reduce(
+  sumDemand(workspace: string): number {
+    return [this.createOwnDigest(), ...this.listDigests()].reduce(
       (sum, digest) => sum + (digest.sums.demand[workspace] ?? 0),
       0,
     );
@@ -186,47 +186,47 @@
 
   /** Whether this host speaks for its place: by hash over the living hosts, without an election. */
   isRelay(): boolean {
-    const ids = this.living().map(entry => entry.id);
-    return rendezvous(
+    const ids = this.listAlive().map(entry => entry.id);
+    return selectByRendezvousHash(
       ids,
-      relayKey(this.options.place),
-      RELAYS_A_PLACE,
+      createRelayKey(this.options.place),
+      RELAYS_PER_PLACE,
     ).includes(this.options.self);
   }
 
   /** The relays of another place, as far as its last digest tells. */
-  relaysOf(place: string): HostSummary[] {
-    const hosts = this.neighbours.get(place)?.digest.hosts ?? [];
-    const ids = rendezvous(
+  listRelays(place: string): HostSummary[] {
+    const hosts = this.digestsByPlace.get(place)?.digest.hosts ?? [];
+    const ids = selectByRendezvousHash(
       hosts.map(host => host.id),
-      relayKey(place),
-      RELAYS_A_PLACE,
+      createRelayKey(place),
+      RELAYS_PER_PLACE,
     );
     return hosts.filter(host => ids.includes(host.id));
   }
 
   /** The other place that a host was last heard to be in. */
-  placeOf(id: string): string | undefined {
-    const found = [...this.neighbours.values()].find(({digest}) =>
+  findPlace(id: string): string | undefined {
+    const found = [...this.digestsByPlace.values()].find(({digest}) =>
       digest.hosts.some(host => host.id === id),
     );
     return found?.digest.place;
   }
 
   /** The other places that were ever heard of. */
-  otherPlaces(): string[] {
-    return [...this.neighbours.keys()];
+  listOtherPlaces(): string[] {
+    return [...this.digestsByPlace.keys()];
   }
 
-  private forget(): void {
+  private expireHosts(): void {
     const oldest = this.options.clock.now() - this.options.forgetAfterMs;
-    for (const [id, member] of this.members) {
+    for (const [id, member] of this.hostsById) {
       if (id !== this.options.self && member.heardAt < oldest)
-        this.members.delete(id);
+        this.hostsById.delete(id);
     }
   }
 }
 
-function relayKey(place: string): string {
+function createRelayKey(place: string): string {
   return `relay ${place}`;
 }
--- a/packages/decisions/src/membership/place_sums.ts
+++ b/packages/decisions/src/membership/place_sums.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {VersionCounts} from './version_counts.js';
+import {VersionRatings} from './version_ratings.js';
 
 const placeSums = z.strictObject({
   /** How many hosts have each configuration offset in force. */
@@ -7,7 +7,7 @@
   /** Sums over the place's hosts, as in `HostEntry`. */
   running: z.record(z.string(), z.int()),
   demand: z.record(z.string(), z.number()),
-  evidence: z.record(z.string(), VersionCounts),
+  evidence: z.record(z.string(), VersionRatings),
   suspects: z.array(z.string()),
 });
 
--- a/packages/decisions/src/membership/rendezvous.ts
+++ b/packages/decisions/src/membership/select_by_rendezvous_hash.ts
@@ -1,19 +1,19 @@
 import {createHash} from 'node:crypto';
 
 /** The `count` members that come first for `key` by highest random weight; all callers with the same members agree. */
-export function rendezvous(
+export function selectByRendezvousHash(
   members: readonly string[],
   key: string,
   count: number,
 ): string[] {
   return members
-    .map(member => ({member, weight: weightOf(member, key)}))
+    .map(member => ({member, weight: computeWeight(member, key)}))
     .sort((a, b) => b.weight - a.weight || a.member.localeCompare(b.member))
     .slice(0, count)
     .map(entry => entry.member);
 }
 
-function weightOf(member: string, key: string): number {
+function computeWeight(member: string, key: string): number {
   return createHash('md5')
     .update(`${key}\n${member}`)
     .digest()
--- a/packages/decisions/src/membership/sum_records.ts
+++ b/packages/decisions/src/membership/sum_by_key.ts
@@ -1,5 +1,5 @@
 /** Adds up numbers by key. */
-export function sumRecords(
+export function sumByKey(
   records: readonly Readonly<Record<string, number>>[],
 ): Record<string, number> {
   const sum: Record<string, number> = {};
--- a/packages/decisions/src/membership/sum_counts.ts
+++ b/packages/decisions/src/membership/sum_version_ratings.ts
@@ -1,10 +1,10 @@
-import type {VersionCounts} from './version_counts.js';
+import type {VersionRatings} from './version_ratings.js';
 
 /** Adds up counts of the same version. Where stages differ, the one that more holders report counts; ties go to the later name. */
-export function sumCounts(
-  all: readonly VersionCounts[],
-): VersionCounts | undefined {
-  const stage = commonStage(all);
+export function sumVersionRatings(
+  all: readonly VersionRatings[],
+): VersionRatings | undefined {
+  const stage = findMostReportedStage(all);
   if (stage === undefined) return undefined;
   const sum = {stage, good: 0, bad: 0, open: 0};
   for (const counts of all) {
@@ -16,7 +16,7 @@
   return sum;
 }
 
-function commonStage(all: readonly VersionCounts[]): string | undefined {
+function findMostReportedStage(all: readonly VersionRatings[]): string | undefined {
   const holders = new Map<string, number>();
   for (const {stage} of all) holders.set(stage, (holders.get(stage) ?? 0) + 1);
   const ranked = [...holders].sort(
--- a/packages/decisions/src/membership/version_counts.ts
+++ b/packages/decisions/src/membership/version_ratings.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-const versionCounts = z.strictObject({
+const versionRatings = z.strictObject({
   /** The stage of the version's life that the counts belong to; counts of other stages do not add up with them. */
   stage: z.string().max(80),
   good: z.number().min(0),
@@ -10,7 +10,7 @@
 });
 
 /** Ratings of one version's answers, counted since its stage began. */
-type VersionCounts = z.output<typeof versionCounts>;
-const VersionCounts = versionCounts;
+type VersionRatings = z.output<typeof versionRatings>;
+const VersionRatings = versionRatings;
 
-export {VersionCounts};
+export {VersionRatings};
--- a/packages/decisions/src/orders/plan_orders.ts
+++ b/packages/decisions/src/orders/plan_orders.ts
@@ -1,11 +1,11 @@
 import type {Configuration} from '../configuration/configuration.js';
 import type {Version} from '../configuration/version.js';
 import {VersionState} from '../configuration/version_state.js';
-import {rendezvous} from '../membership/rendezvous.js';
+import {selectByRendezvousHash} from '../membership/select_by_rendezvous_hash.js';
 import type {PlannedOrder} from './planned_order.js';
 import type {RunnerInventory} from './runner_inventory.js';
 
-const CARRIERS_LEAST = 2;
+const MIN_REPLICAS = 2;
 
 /**
  * What the runners of a place still have to load or unload. It follows from the
@@ -25,7 +25,7 @@
   const unloads = planUnloads(config, runners);
   unloads.forEach(order => free.set(order.runner, free.get(order.runner)! + 1));
   const loads = Object.values(config.versions)
-    .filter(version => isWanted(config, version))
+    .filter(version => shouldBeLoaded(config, version))
     .sort((a, b) => a.id.localeCompare(b.id))
     .flatMap(version => planLoads(version, runners, free));
   return [...unloads, ...loads];
@@ -54,12 +54,12 @@
   const carriers = runners.filter(
     runner => runner.versions.includes(version.id) && !runner.drained,
   );
-  const missing = wantedCarriers(version, runners) - carriers.length;
+  const missing = computeTargetReplicas(version, runners) - carriers.length;
   const able = runners.filter(
     runner =>
       !runner.drained && !carriers.includes(runner) && free.get(runner.id)! > 0,
   );
-  const chosen = rendezvous(
+  const chosen = selectByRendezvousHash(
     able.map(runner => runner.id),
     version.id,
     Math.max(0, missing),
@@ -73,7 +73,7 @@
 }
 
 /** As many of the runners as its part of the work asks for, and at least two. */
-function wantedCarriers(
+function computeTargetReplicas(
   version: Version,
   runners: readonly RunnerInventory[],
 ): number {
@@ -82,11 +82,11 @@
     : 0;
   return Math.min(
     runners.length,
-    Math.max(CARRIERS_LEAST, Math.ceil(part * runners.length)),
+    Math.max(MIN_REPLICAS, Math.ceil(part * runners.length)),
   );
 }
 
-function isWanted(config: Configuration, version: Version): boolean {
+function shouldBeLoaded(config: Configuration, version: Version): boolean {
   const takesWork =
     version.state === VersionState.STABLE ||
     version.state === VersionState.ROLLING_OUT;
--- a/packages/decisions/src/platform/generate_request.ts
+++ b/packages/decisions/src/platform/generate_request.ts
@@ -11,7 +11,7 @@
   /** How many tokens the caller already has; generation goes on after them. */
   readonly resumeFrom: number;
   /** The text of those tokens, so that another engine can go on from it. */
-  readonly given: string;
+  readonly generatedText: string;
   /** The chain of prefix names of the prompt, longest last. */
   readonly prefixes: readonly string[];
   /** Trace headers. */
--- a/packages/decisions/src/platform/runner.ts
+++ b/packages/decisions/src/platform/runner.ts
@@ -1,7 +1,7 @@
 import type {CacheEvent} from './cache_event.js';
 import type {GenerateEvent} from './generate_event.js';
 import type {GenerateRequest} from './generate_request.js';
-import type {Order} from './order.js';
+import type {RunnerOrder} from './runner_order.js';
 import type {RunnerReport} from './runner_report.js';
 
 /** A model engine. Failures are rejected with {@link RunnerFailure}, which tells whether work can have begun. */
@@ -14,9 +14,9 @@
     signal: AbortSignal,
   ): AsyncIterable<GenerateEvent>;
   /** Load and loaded versions, as of some time ago. */
-  report(signal: AbortSignal): Promise<RunnerReport>;
+  fetchReport(signal: AbortSignal): Promise<RunnerReport>;
   /** Cache events after a position; a gap in positions means that some were lost. */
-  cacheEvents(after: number, signal: AbortSignal): Promise<CacheEvent[]>;
+  fetchCacheEvents(after: number, signal: AbortSignal): Promise<CacheEvent[]>;
   /** Gives an order; refused as stale when the runner checks and has seen a higher token. */
-  order(order: Order, signal: AbortSignal): Promise<void>;
+  sendOrder(order: RunnerOrder, signal: AbortSignal): Promise<void>;
 }
--- a/packages/decisions/src/platform/order.ts
+++ b/packages/decisions/src/platform/runner_order.ts
@@ -1,5 +1,5 @@
 /** Desired state for one version on an engine; giving the same order twice changes nothing more. */
-export interface Order {
+export interface RunnerOrder {
   readonly version: string;
   readonly desired: 'loaded' | 'unloaded';
   /** The offset of the lease under which it is given. */
--- a/packages/decisions/src/prompts/prefix_chain.ts
+++ b/packages/decisions/src/prompts/hash_prompt_prefixes.ts
@@ -1,17 +1,17 @@
 import {createHash} from 'node:crypto';
 
 const BLOCK_CHARACTERS = 1_024;
-const BLOCKS_MOST = 64;
-const NAME_LENGTH = 16;
+const MAX_BLOCKS = 64;
+const HASH_LENGTH = 16;
 
 /**
  * Names the prefixes of a prompt, shortest first: one for each block of 1,024
  * characters that is full. Equal beginnings have equal names, so an engine's
  * cache events can be matched without passing text on.
  */
-export function prefixChain(version: string, prompt: string): string[] {
+export function hashPromptPrefixes(version: string, prompt: string): string[] {
   const blocks = Math.min(
-    BLOCKS_MOST,
+    MAX_BLOCKS,
     Math.floor(prompt.length / BLOCK_CHARACTERS),
   );
   const hash = createHash('sha256').update(version);
@@ -20,7 +20,7 @@
     hash.update(
       prompt.slice(block * BLOCK_CHARACTERS, (block + 1) * BLOCK_CHARACTERS),
     );
-    names.push(hash.copy().digest('hex').slice(0, NAME_LENGTH));
+    names.push(hash.copy().digest('hex').slice(0, HASH_LENGTH));
   }
   return names;
 }
--- a/packages/decisions/src/retries/backoff.ts
+++ b/packages/decisions/src/retries/backoff.ts
@@ -3,9 +3,9 @@
 interface Options {
   readonly random: RandomSource;
   /** The first delay's upper bound, in ms. */
-  readonly firstMs: number;
+  readonly initialMs: number;
   /** No delay is longer, in ms. */
-  readonly mostMs: number;
+  readonly maxMs: number;
 }
 
 /** Exponential back-off with full jitter. */
@@ -15,10 +15,10 @@
   constructor(private readonly options: Options) {}
 
   /** The next delay in ms. */
-  next(): number {
+  nextDelayMs(): number {
     const bound = Math.min(
-      this.options.mostMs,
-      this.options.firstMs * 2 ** this.attempt,
+      this.options.maxMs,
+      this.options.initialMs * 2 ** this.attempt,
     );
     this.attempt++;
     return bound * this.options.random.next();
--- a/packages/decisions/src/rollout/exposure_quota.ts
+++ b/packages/decisions/src/rollout/compute_exposure_quota.ts
@@ -1,4 +1,4 @@
-import {rendezvous} from '../membership/rendezvous.js';
+import {selectByRendezvousHash} from '../membership/select_by_rendezvous_hash.js';
 
 interface Options {
   /** The answers that may be out without a rating, over all hosts. */
@@ -14,11 +14,11 @@
  * view add up to the budget exactly; with more hosts than budget, the hosts that
  * come first in a hash order get one each and the others none.
  */
-export function exposureQuota(options: Options): number {
+export function computeExposureQuota(options: Options): number {
   const {exposure, version, self, hosts} = options;
   if (hosts.length === 0) return 0;
   const whole = Math.floor(exposure / hosts.length);
   const rest = exposure - whole * hosts.length;
-  const favoured = rendezvous(hosts, version, rest);
+  const favoured = selectByRendezvousHash(hosts, version, rest);
   return whole + (favoured.includes(self) ? 1 : 0);
 }
--- a/packages/decisions/src/rollout/drift_detector.ts
+++ b/packages/decisions/src/rollout/drift_detector.ts
@@ -7,15 +7,15 @@
 
 const THRESHOLD = 9;
 const MARGIN = 0.15;
-const RATE_LEAST = 0.01;
-const RATE_MOST = 0.98;
+const MIN_RATE = 0.01;
+const MAX_RATE = 0.98;
 
 /**
  * Page's cumulative sum over ratings in the order in which they come: finds the
  * moment at which a version that was good turns bad, and forgets the good past.
  */
 export class DriftDetector {
-  private score = 0;
+  private cumulativeSum = 0;
   private readonly threshold: number;
   private readonly margin: number;
 
@@ -25,15 +25,15 @@
   }
 
   /** Takes a group of ratings; true when the version turned bad. */
-  add(good: number, bad: number, badRate: number): boolean {
-    const p0 = Math.min(Math.max(badRate, RATE_LEAST), RATE_MOST - this.margin);
+  addRatings(good: number, bad: number, badRate: number): boolean {
+    const p0 = Math.min(Math.max(badRate, MIN_RATE), MAX_RATE - this.margin);
     const p1 = p0 + this.margin;
     const step = bad * Math.log(p1 / p0) + good * Math.log((1 - p1) / (1 - p0));
-    this.score = Math.max(0, this.score + step);
-    return this.score >= this.threshold;
+    this.cumulativeSum = Math.max(0, this.cumulativeSum + step);
+    return this.cumulativeSum >= this.threshold;
   }
 
   reset(): void {
-    this.score = 0;
+    this.cumulativeSum = 0;
   }
 }
--- /dev/null
+++ b/packages/decisions/src/rollout/rating_count_gate.ts
@@ -0,0 +1,13 @@
+import type {VersionGate} from './version_gate.js';
+import {GateVerdict} from './gate_verdict.js';
+
+const RATINGS_PER_STEP = 50;
+
+/** A baseline that watches nothing: each step passes after a number of ratings, whatever they say. */
+export class RatingCountGate implements VersionGate {
+  evaluate(evidence: {good: number; bad: number}): GateVerdict {
+    return evidence.good + evidence.bad >= RATINGS_PER_STEP
+      ? GateVerdict.PASS
+      : GateVerdict.WAIT;
+  }
+}
--- a/packages/decisions/src/rollout/sequential_gate.ts
+++ b/packages/decisions/src/rollout/sequential_gate.ts
@@ -1,50 +1,50 @@
-import type {EvidenceCounts} from './evidence_counts.js';
-import type {Gate} from './gate.js';
+import type {RatingCounts} from './rating_counts.js';
+import type {VersionGate} from './version_gate.js';
 import {GateVerdict} from './gate_verdict.js';
 
 interface Options {
   /** The chance to halt a good version, over one stage. */
-  readonly falseHalt?: number;
+  readonly falseHaltProbability?: number;
   /** The chance to pass a bad one. */
-  readonly falsePass?: number;
+  readonly falsePassProbability?: number;
   /** How much more bad answers make a version bad: added to the acceptable rate. */
   readonly margin?: number;
 }
 
-const FALSE_HALT = 0.002;
-const FALSE_PASS = 0.01;
+const FALSE_HALT_PROBABILITY = 0.002;
+const FALSE_PASS_PROBABILITY = 0.01;
 const MARGIN = 0.15;
-const RATE_LEAST = 0.01;
-const RATE_MOST = 0.98;
+const MIN_RATE = 0.01;
+const MAX_RATE = 0.98;
 
 /**
  * Wald's sequential probability ratio test between an acceptable rate of bad
  * answers p0 and a bad one p1 = p0 + margin. It halts at ln((1-b)/a) and passes
  * at ln(b/(1-a)), with a the chance of a false halt and b of a false pass.
  */
-export class SequentialGate implements Gate {
-  private readonly haltAt: number;
-  private readonly passAt: number;
+export class SequentialGate implements VersionGate {
+  private readonly haltThreshold: number;
+  private readonly passThreshold: number;
   private readonly margin: number;
 
   constructor(options: Options = {}) {
-    const falseHalt = options.falseHalt ?? FALSE_HALT;
-    const falsePass = options.falsePass ?? FALSE_PASS;
+    const falseHalt = options.falseHaltProbability ?? FALSE_HALT_PROBABILITY;
+    const falsePass = options.falsePassProbability ?? FALSE_PASS_PROBABILITY;
     this.margin = options.margin ?? MARGIN;
-    this.haltAt = Math.log((1 - falsePass) / falseHalt);
-    this.passAt = Math.log(falsePass / (1 - falseHalt));
+    this.haltThreshold = Math.log((1 - falsePass) / falseHalt);
+    this.passThreshold = Math.log(falsePass / (1 - falseHalt));
   }
 
-  judge(evidence: EvidenceCounts, badRate: number): GateVerdict {
-    const ratio = this.logRatio(evidence, badRate);
-    if (ratio >= this.haltAt) return GateVerdict.HALT;
-    if (ratio <= this.passAt) return GateVerdict.PASS;
+  evaluate(evidence: RatingCounts, badRate: number): GateVerdict {
+    const ratio = this.computeLogRatio(evidence, badRate);
+    if (ratio >= this.haltThreshold) return GateVerdict.HALT;
+    if (ratio <= this.passThreshold) return GateVerdict.PASS;
     return GateVerdict.WAIT;
   }
 
   /** The log likelihood ratio of "bad" against "acceptable". */
-  logRatio(evidence: EvidenceCounts, badRate: number): number {
-    const p0 = Math.min(Math.max(badRate, RATE_LEAST), RATE_MOST - this.margin);
+  computeLogRatio(evidence: RatingCounts, badRate: number): number {
+    const p0 = Math.min(Math.max(badRate, MIN_RATE), MAX_RATE - this.margin);
     const p1 = p0 + this.margin;
     return (
       evidence.bad * Math.log(p1 / p0) +
--- a/packages/decisions/src/rollout/gate.test.ts
+++ b/packages/decisions/src/rollout/version_gate.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {SeededRandom} from '@bayspool/kernel';
 import {DriftDetector} from './drift_detector.js';
-import {exposureQuota} from './exposure_quota.js';
+import {computeExposureQuota} from './compute_exposure_quota.js';
 import {GateVerdict} from './gate_verdict.js';
 import {SequentialGate} from './sequential_gate.js';
 
@@ -21,7 +21,7 @@
   for (let count = 0; count < RATINGS_MOST; count++) {
     if (random.next() < badRate) bad++;
     else good++;
-    const verdict = gate.judge({good, bad, open: 0}, 0.1);
+    const verdict = gate.evaluate({good, bad, open: 0}, 0.1);
     if (verdict !== GateVerdict.WAIT) return {verdict, bad};
   }
   return {verdict: GateVerdict.WAIT, bad};
@@ -44,13 +44,13 @@
   const detector = new DriftDetector();
   const alarms = Array.from({length: 10_000}, () => {
     const isBad = random.next() < 0.05;
-    return detector.add(isBad ? 0 : 1, isBad ? 1 : 0, 0.05);
+    return detector.addRatings(isBad ? 0 : 1, isBad ? 1 : 0, 0.05);
   });
   assert.ok(!alarms.includes(true));
   let count = 0;
   for (; count < 1_000; count++) {
     const isBad = random.next() < 0.5;
-    if (detector.add(isBad ? 0 : 1, isBad ? 1 : 0, 0.05)) break;
+    if (detector.addRatings(isBad ? 0 : 1, isBad ? 1 : 0, 0.05)) break;
   }
   assert.ok(count < 60, `${count} answers`);
 });
@@ -59,7 +59,7 @@
   for (const count of [1, 7, 49, 340]) {
     const hosts = Array.from({length: count}, (_, index) => `host-${index}`);
     const parts = hosts.map(self =>
-      exposureQuota({exposure: 50, version: 'geo@2', self, hosts}),
+      computeExposureQuota({exposure: 50, version: 'geo@2', self, hosts}),
     );
     assert.equal(
       parts.reduce((sum, part) => sum + part, 0),
--- a/packages/decisions/src/rollout/gate.ts
+++ b/packages/decisions/src/rollout/version_gate.ts
@@ -1,8 +1,8 @@
-import type {EvidenceCounts} from './evidence_counts.js';
+import type {RatingCounts} from './rating_counts.js';
 import type {GateVerdict} from './gate_verdict.js';
 
 /** Judges a version on pooled evidence. */
-export interface Gate {
+export interface VersionGate {
   /** @param badRate The part of bad answers that is acceptable. */
-  judge(evidence: EvidenceCounts, badRate: number): GateVerdict;
+  evaluate(evidence: RatingCounts, badRate: number): GateVerdict;
 }
--- a/packages/decisions/src/routing/adaptive_limit.ts
+++ b/packages/decisions/src/routing/adaptive_concurrency_limit.ts
@@ -5,13 +5,13 @@
   readonly most: number;
 }
 
-const DECREASE = 0.8;
+const DECREASE_FACTOR = 0.8;
 
 /**
  * How many requests this host keeps at one runner: grows by one for each round of
  * answers while it is the bound, and falls by a fifth when the runner is overloaded.
  */
-export class AdaptiveLimit {
+export class AdaptiveConcurrencyLimit {
   private limit: number;
 
   constructor(private readonly options: Options) {
@@ -23,13 +23,13 @@
   }
 
   /** A request ended well while `inFlight` were out. */
-  succeeded(inFlight: number): void {
+  recordSuccess(inFlight: number): void {
     if (inFlight < this.value - 1) return;
     this.limit = Math.min(this.options.most, this.limit + 1 / this.limit);
   }
 
   /** The runner refused for want of room, or queued what it was sent. */
-  overloaded(): void {
-    this.limit = Math.max(this.options.least, this.limit * DECREASE);
+  recordOverload(): void {
+    this.limit = Math.max(this.options.least, this.limit * DECREASE_FACTOR);
   }
 }
--- a/packages/decisions/src/routing/crossing_policy.ts
+++ b/packages/decisions/src/routing/crossing_policy.ts
@@ -1,15 +1,15 @@
 interface Options {
   /** Load over slots at home above which crossing begins. */
-  readonly enter?: number;
+  readonly startLoad?: number;
   /** Load over slots at home below which it ends. */
-  readonly leave?: number;
+  readonly stopLoad?: number;
   /** The load over slots of the other place that crossing work may not push it above. */
-  readonly cap?: number;
+  readonly maxTargetLoad?: number;
 }
 
-const ENTER = 1.2;
-const LEAVE = 0.8;
-const CAP = 0.8;
+const START_LOAD = 1.2;
+const STOP_LOAD = 0.8;
+const MAX_TARGET_LOAD = 0.8;
 
 /**
  * Whether new work may cross from a place to another. It begins at a higher load
@@ -17,21 +17,21 @@
  * for its own work.
  */
 export class CrossingPolicy {
-  private readonly crossing = new Set<string>();
-  private readonly enter: number;
-  private readonly leave: number;
-  private readonly cap: number;
+  private readonly crossingHomes = new Set<string>();
+  private readonly startLoad: number;
+  private readonly stopLoad: number;
+  private readonly maxTargetLoad: number;
 
   constructor(options: Options = {}) {
-    this.enter = options.enter ?? ENTER;
-    this.leave = options.leave ?? LEAVE;
-    this.cap = options.cap ?? CAP;
+    this.startLoad = options.startLoad ?? START_LOAD;
+    this.stopLoad = options.stopLoad ?? STOP_LOAD;
+    this.maxTargetLoad = options.maxTargetLoad ?? MAX_TARGET_LOAD;
   }
 
   /** @param homeLoad Load over slots at home; infinite when no runner there is fit. */
   mayCross(home: string, homeLoad: number, otherLoad: number): boolean {
-    if (homeLoad >= this.enter) this.crossing.add(home);
-    if (homeLoad <= this.leave) this.crossing.delete(home);
-    return this.crossing.has(home) && otherLoad < this.cap;
+    if (homeLoad >= this.startLoad) this.crossingHomes.add(home);
+    if (homeLoad <= this.stopLoad) this.crossingHomes.delete(home);
+    return this.crossingHomes.has(home) && otherLoad < this.maxTargetLoad;
   }
 }
--- a/packages/decisions/src/routing/predicted_wait.ts
+++ b/packages/decisions/src/routing/least_predicted_wait.ts
@@ -1,19 +1,19 @@
 import type {RandomSource} from '@bayspool/kernel';
 import type {RouteRequest} from './route_request.js';
-import type {RunnerChoice} from './runner_choice.js';
+import type {LoadBalancer} from './load_balancer.js';
 import type {RunnerView} from './runner_view.js';
 
 interface Options {
   readonly random: RandomSource;
   /** How many runners are drawn at random for comparison. */
-  readonly samples?: number;
+  readonly sampleCount?: number;
   /** What a crossing between places costs, in ms. */
   readonly crossingMs?: number;
 }
 
-const SAMPLES = 2;
+const SAMPLE_COUNT = 2;
 const CROSSING_MS = 5;
-const TOKENS_A_PREFIX = 256;
+const TOKENS_PER_PREFIX = 256;
 const THOUSAND = 1_000;
 
 /**
@@ -22,21 +22,21 @@
  * the crossing. A random draw keeps hosts with the same lagged load from all
  * choosing the same runner.
  */
-export class PredictedWait implements RunnerChoice {
+export class LeastPredictedWait implements LoadBalancer {
   private readonly options: Required<Options>;
 
   constructor(options: Options) {
-    this.options = {samples: SAMPLES, crossingMs: CROSSING_MS, ...options};
+    this.options = {sampleCount: SAMPLE_COUNT, crossingMs: CROSSING_MS, ...options};
   }
 
   choose(
     runners: readonly RunnerView[],
     request: RouteRequest,
   ): RunnerView | undefined {
-    const candidates = this.draw(runners);
-    const cached = longestPrefix(runners, request.prefixes);
+    const candidates = this.sampleRunners(runners);
+    const cached = findLongestPrefixMatch(runners, request.prefixes);
     if (cached) candidates.push(cached);
-    return least(candidates, runner => this.score(runner, request));
+    return findLeast(candidates, runner => this.score(runner, request));
   }
 
   /** The score of a runner in ms; lower is better. */
@@ -45,8 +45,8 @@
     const crowding = runner.load / runner.slots / runner.share;
     const wait = (ahead + crowding) * runner.serviceMs;
     const saved =
-      (runner.prefixes.match(request.prefixes) *
-        TOKENS_A_PREFIX *
+      (runner.prefixes.countCached(request.prefixes) *
+        TOKENS_PER_PREFIX *
         runner.prefillMs) /
       THOUSAND;
     const crossing =
@@ -54,26 +54,26 @@
     return wait - saved + crossing;
   }
 
-  private draw(runners: readonly RunnerView[]): RunnerView[] {
+  private sampleRunners(runners: readonly RunnerView[]): RunnerView[] {
     const rest = [...runners];
     const drawn: RunnerView[] = [];
-    while (drawn.length < this.options.samples && rest.length > 0) {
+    while (drawn.length < this.options.sampleCount && rest.length > 0) {
       drawn.push(...rest.splice(this.options.random.below(rest.length), 1));
     }
     return drawn;
   }
 }
 
-function longestPrefix(
+function findLongestPrefixMatch(
   runners: readonly RunnerView[],
   chain: readonly string[],
 ): RunnerView | undefined {
   if (chain.length === 0) return undefined;
-  const best = least(runners, runner => -runner.prefixes.match(chain));
-  return best && best.prefixes.match(chain) > 0 ? best : undefined;
+  const best = findLeast(runners, runner => -runner.prefixes.countCached(chain));
+  return best && best.prefixes.countCached(chain) > 0 ? best : undefined;
 }
 
-function least<T>(
+function findLeast<T>(
   items: readonly T[],
   value: (item: T) => number,
 ): T | undefined {
--- a/packages/decisions/src/routing/round_robin.ts
+++ b/packages/decisions/src/routing/round_robin.ts
@@ -1,11 +1,11 @@
-import type {RunnerChoice} from './runner_choice.js';
+import type {LoadBalancer} from './load_balancer.js';
 import type {RunnerView} from './runner_view.js';
 
 /** A baseline: each runner in turn. */
-export class RoundRobin implements RunnerChoice {
-  private turn = 0;
+export class RoundRobin implements LoadBalancer {
+  private nextIndex = 0;
 
   choose(runners: readonly RunnerView[]): RunnerView | undefined {
-    return runners[this.turn++ % Math.max(1, runners.length)];
+    return runners[this.nextIndex++ % Math.max(1, runners.length)];
   }
 }
--- a/packages/decisions/src/routing/runner_health.ts
+++ b/packages/decisions/src/routing/runner_health.ts
@@ -13,31 +13,31 @@
   readonly slowStartMs: number;
 }
 
-const SLOW_START_LEAST = 0.1;
+const MIN_SLOW_START_SHARE = 0.1;
 
 /** Whether a runner is fit for work, from the failures that this host saw. */
 export class RunnerHealth {
-  private failures = 0;
-  private ejections = 0;
+  private consecutiveFailures = 0;
+  private consecutiveEjections = 0;
   private ejectedUntil = -Infinity;
   private returnedAt = -Infinity;
 
   constructor(private readonly options: Options) {}
 
-  succeeded(): void {
-    this.failures = 0;
-    if (!this.isEjected()) this.ejections = 0;
+  recordSuccess(): void {
+    this.consecutiveFailures = 0;
+    if (!this.isEjected()) this.consecutiveEjections = 0;
   }
 
-  failed(): void {
-    this.failures++;
-    if (this.failures < this.options.failuresMost || this.isEjected()) return;
+  recordFailure(): void {
+    this.consecutiveFailures++;
+    if (this.consecutiveFailures < this.options.failuresMost || this.isEjected()) return;
     const length = Math.min(
-      this.options.ejectMs * 2 ** this.ejections,
+      this.options.ejectMs * 2 ** this.consecutiveEjections,
       this.options.ejectMostMs,
     );
-    this.ejections++;
-    this.failures = 0;
+    this.consecutiveEjections++;
+    this.consecutiveFailures = 0;
     this.ejectedUntil =
       this.options.clock.now() + jitter(this.options.random, length);
     this.returnedAt = this.ejectedUntil;
@@ -52,7 +52,7 @@
     const since = this.options.clock.now() - this.returnedAt;
     return Math.min(
       1,
-      Math.max(SLOW_START_LEAST, since / this.options.slowStartMs),
+      Math.max(MIN_SLOW_START_SHARE, since / this.options.slowStartMs),
     );
   }
 }
--- a/packages/decisions/src/routing/runner_view.ts
+++ b/packages/decisions/src/routing/runner_view.ts
@@ -1,4 +1,4 @@
-import type {PrefixIndex} from './prefix_index.js';
+import type {RunnerPrefixCache} from './runner_prefix_cache.js';
 
 /** What routing knows of one runner at the moment of a choice. */
 export interface RunnerView {
@@ -18,5 +18,5 @@
   readonly prefillMs: number;
   /** The part of the full share, 0 to 1, while it starts slowly. */
   readonly share: number;
-  readonly prefixes: PrefixIndex;
+  readonly prefixes: RunnerPrefixCache;
 }
--- a/packages/decisions/src/sealing/parse_seal_keys.ts
+++ b/packages/decisions/src/sealing/parse_seal_keys.ts
@@ -2,19 +2,19 @@
 import type {SealKey} from './seal_key.js';
 
 const SEPARATOR = ':';
-const SECRET_LENGTH_LEAST = 8;
+const MIN_SECRET_LENGTH = 8;
 
 /** Reads `k2:secret,k1:older-secret`. The first key seals, all of them open. */
 export function parseSealKeys(text: string): SealKey[] {
   return text.split(',').map(item => {
     const [id, ...rest] = item.trim().split(SEPARATOR);
     const secret = rest.join(SEPARATOR);
-    if (id === '' || secret.length < SECRET_LENGTH_LEAST) throw keyProblem();
+    if (id === '' || secret.length < MIN_SECRET_LENGTH) throw createKeyProblem();
     return {id, secret};
   });
 }
 
-function keyProblem(): Problem {
+function createKeyProblem(): Problem {
   return new Problem({
     kind: ProblemKind.SETTINGS,
     what: 'a seal key is not of the form ID:SECRET with a secret of at least 8 characters',
--- a/packages/decisions/src/sessions/session_seal.ts
+++ b/packages/decisions/src/sessions/session_sealer.ts
@@ -4,30 +4,30 @@
 import {Session} from './session.js';
 
 /** Mints session ids that any host can open, and refuses altered ones and those of other workspaces. */
-export class SessionSeal {
+export class SessionSealer {
   constructor(private readonly sealer: Sealer) {}
 
-  mint(session: Session): string {
+  seal(session: Session): string {
     return this.sealer.seal(session);
   }
 
   open(text: string, workspace: string): Either<Problem, Session> {
     return this.sealer
       .open(text)
-      .mapLeft(invalid)
-      .chain(parse)
+      .mapLeft(createInvalidSessionProblem)
+      .chain(parseSession)
       .chain(session =>
-        session.workspace === workspace ? Right(session) : Left(invalid()),
+        session.workspace === workspace ? Right(session) : Left(createInvalidSessionProblem()),
       );
   }
 }
 
-function parse(value: unknown): Either<Problem, Session> {
+function parseSession(value: unknown): Either<Problem, Session> {
   const parsed = Session.safeParse(value);
-  return parsed.success ? Right(parsed.data) : Left(invalid());
+  return parsed.success ? Right(parsed.data) : Left(createInvalidSessionProblem());
 }
 
-function invalid(): Problem {
+function createInvalidSessionProblem(): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: 'the session id is not one that this workspace was given',
--- a/packages/decisions/src/tickets/claim.ts
+++ b/packages/decisions/src/tickets/claim_record.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-const claim = z.strictObject({
+const claimRecord = z.strictObject({
   type: z.literal('claim'),
   /** The record's own id; sent again with the same id when a reply is lost. */
   id: z.string().max(64),
@@ -13,7 +13,7 @@
 });
 
 /** A host's claim to be the one that runs the request of a caller's own key. */
-type Claim = z.output<typeof claim>;
-const Claim = claim;
+type ClaimRecord = z.output<typeof claimRecord>;
+const ClaimRecord = claimRecord;
 
-export {Claim};
+export {ClaimRecord};
--- a/packages/decisions/src/tickets/claim_table.ts
+++ b/packages/decisions/src/tickets/claim_table.ts
@@ -1,7 +1,7 @@
-import type {Claim} from './claim.js';
+import type {ClaimRecord} from './claim_record.js';
 
 interface Entry {
-  readonly claim: Claim;
+  readonly claim: ClaimRecord;
   /** The log's time of the append. */
   readonly at: number;
 }
@@ -13,13 +13,13 @@
   /** @param windowMs How long a key stays claimed, by the log's time; shorter than the log's retention. */
   constructor(private readonly windowMs: number) {}
 
-  fold(entry: Claim, at: number): void {
+  fold(entry: ClaimRecord, at: number): void {
     this.expire(at);
     if (!this.winners.has(entry.key))
       this.winners.set(entry.key, {claim: entry, at});
   }
 
-  winner(key: string): Claim | undefined {
+  findWinner(key: string): ClaimRecord | undefined {
     return this.winners.get(key)?.claim;
   }
 
--- a/packages/decisions/src/tickets/answer_memory.ts
+++ b/packages/decisions/src/tickets/idempotency_cache.ts
@@ -12,10 +12,10 @@
 interface Options<Answer> {
   readonly clock: Clock;
   /** How long an answer is kept after it is whole, in ms. */
-  readonly keepMs: number;
+  readonly retentionMs: number;
   /** The bytes that finished answers may hold together. */
-  readonly bytesMost: number;
-  readonly sizeOf: (answer: Answer) => number;
+  readonly maxBytes: number;
+  readonly measureBytes: (answer: Answer) => number;
 }
 
 interface UsedKey<Answer> {
@@ -27,22 +27,22 @@
 /** Why a key gives no answer. */
 type Refusal = 'other request' | 'forgotten' | 'full';
 
-const FORGOTTEN_MOST = 200_000;
+const MAX_EXPIRED_KEYS = 200_000;
 
 /**
  * Remembers the first answer for a key, so that the same key again gives the
  * same answer and never a second run. A key whose answer had to be dropped
  * stays known as used.
  */
-export class AnswerMemory<Answer> {
+export class IdempotencyCache<Answer> {
   private readonly entries = new Map<string, Entry<Answer>>();
-  private readonly forgotten = new Set<string>();
+  private readonly expiredKeys = new Set<string>();
   private bytes = 0;
 
   constructor(private readonly options: Options<Answer>) {}
 
   /** Gives the remembered answer, or runs `run` once and remembers what it gives. */
-  once(
+  runOnce(
     key: string,
     fingerprint: string,
     run: () => Promise<Answer>,
@@ -53,8 +53,8 @@
       return known.fingerprint === fingerprint
         ? Right(known.answer)
         : Left('other request');
-    if (this.forgotten.has(key)) return Left('forgotten');
-    if (this.forgotten.size >= FORGOTTEN_MOST) return Left('full');
+    if (this.expiredKeys.has(key)) return Left('forgotten');
+    if (this.expiredKeys.size >= MAX_EXPIRED_KEYS) return Left('full');
     const entry: Entry<Answer> = {
       fingerprint,
       answer: run(),
@@ -63,20 +63,20 @@
     };
     this.entries.set(key, entry);
     void entry.answer.then(
-      answer => this.settle(entry, this.options.sizeOf(answer)),
-      () => this.settle(entry, 0),
+      answer => this.recordCompletion(entry, this.options.measureBytes(answer)),
+      () => this.recordCompletion(entry, 0),
     );
     return Right(entry.answer);
   }
 
   /** Takes over an answer that another host gave; nothing means that it is no longer known. */
-  adopt(key: string, fingerprint: string, answer: Answer | undefined): void {
-    if (answer === undefined) this.forgotten.add(key);
-    else this.once(key, fingerprint, () => Promise.resolve(answer));
+  adoptAnswer(key: string, fingerprint: string, answer: Answer | undefined): void {
+    if (answer === undefined) this.expiredKeys.add(key);
+    else this.runOnce(key, fingerprint, () => Promise.resolve(answer));
   }
 
   /** All keys that were used, with their answers as far as they are still kept. */
-  async used(): Promise<UsedKey<Answer>[]> {
+  async listUsedKeys(): Promise<UsedKey<Answer>[]> {
     const kept = [...this.entries].map(
       async ([key, {fingerprint, answer}]) => ({
         key,
@@ -84,7 +84,7 @@
         answer: await answer.catch(() => undefined),
       }),
     );
-    const forgotten = [...this.forgotten].map(key => ({
+    const forgotten = [...this.expiredKeys].map(key => ({
       key,
       fingerprint: '',
       answer: undefined,
@@ -93,8 +93,8 @@
   }
 
   /** Whether the key was used before. */
-  knows(key: string): boolean {
-    return this.entries.has(key) || this.forgotten.has(key);
+  hasKey(key: string): boolean {
+    return this.entries.has(key) || this.expiredKeys.has(key);
   }
 
   /** Frees a key whose request is known not to have run. */
@@ -106,15 +106,15 @@
   }
 
   /** Keys whose request has not ended. */
-  running(): number {
+  countRunning(): number {
     return [...this.entries.values()].filter(
       entry => entry.forgetAt === Infinity,
     ).length;
   }
 
-  private settle(entry: Entry<Answer>, bytes: number): void {
+  private recordCompletion(entry: Entry<Answer>, bytes: number): void {
     entry.bytes = bytes;
-    entry.forgetAt = this.options.clock.now() + this.options.keepMs;
+    entry.forgetAt = this.options.clock.now() + this.options.retentionMs;
     this.bytes += bytes;
   }
 
@@ -122,9 +122,9 @@
     const now = this.options.clock.now();
     for (const [key, entry] of this.entries) {
       if (entry.forgetAt === Infinity) continue;
-      if (entry.forgetAt > now && this.bytes <= this.options.bytesMost) break;
+      if (entry.forgetAt > now && this.bytes <= this.options.maxBytes) break;
       this.release(key);
-      this.forgotten.add(key);
+      this.expiredKeys.add(key);
     }
   }
 }
--- a/packages/decisions/src/tickets/ticket_seal.ts
+++ b/packages/decisions/src/tickets/ticket_sealer.ts
@@ -6,31 +6,31 @@
 const PREFIX = 'bst_';
 
 /** Mints tickets and opens them on any host. */
-export class TicketSeal {
+export class TicketSealer {
   constructor(private readonly sealer: Sealer) {}
 
-  mint(ticket: Ticket): string {
+  seal(ticket: Ticket): string {
     return PREFIX + this.sealer.seal(ticket);
   }
 
   /** Tells a ticket from a key that the caller made up. */
-  recognises(key: string): boolean {
+  isTicket(key: string): boolean {
     return key.startsWith(PREFIX);
   }
 
   open(text: string, workspace: string): Either<Problem, Ticket> {
     return this.sealer
       .open(text.slice(PREFIX.length))
-      .mapLeft(invalid)
+      .mapLeft(createInvalidTicketProblem)
       .chain(value => {
         const parsed = Ticket.safeParse(value);
         const own = parsed.success && parsed.data.workspace === workspace;
-        return own ? Right(parsed.data) : Left(invalid());
+        return own ? Right(parsed.data) : Left(createInvalidTicketProblem());
       });
   }
 }
 
-function invalid(): Problem {
+function createInvalidTicketProblem(): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: 'the ticket is not one that this workspace was given',
--- a/packages/decisions/src/versions/eligible_versions.ts
+++ b/packages/decisions/src/versions/find_eligible_versions.ts
@@ -3,7 +3,7 @@
 import type {Configuration} from '../configuration/configuration.js';
 import type {Version} from '../configuration/version.js';
 import {VersionState} from '../configuration/version_state.js';
-import {WhenStale} from '../configuration/when_stale.js';
+import {StalePolicy} from '../configuration/stale_policy.js';
 import type {VersionRequest} from './version_request.js';
 
 const AUTO = 'auto';
@@ -13,30 +13,30 @@
  * gate to a runner: it is asked again before every attempt, so that a change of
  * the configuration stops queued, retried and cascaded work alike.
  */
-export function eligibleVersions(
+export function findEligibleVersions(
   config: Configuration,
   request: VersionRequest,
 ): Either<Problem, Version[]> {
   const workspace = config.workspaces[request.workspace];
   const task = workspace?.tasks[request.task];
   if (!task)
-    return Left(unknownTask(request.task, Object.keys(workspace?.tasks ?? {})));
-  if (request.stale && workspace.whenStale === WhenStale.REFUSE)
-    return Left(staleProblem());
+    return Left(createUnknownTaskProblem(request.task, Object.keys(workspace?.tasks ?? {})));
+  if (request.stale && workspace.whenStale === StalePolicy.REFUSE)
+    return Left(createStaleProblem());
   const allowed = task.versions
     .map(id => config.versions[id])
     .filter(version => version !== undefined);
-  if (request.session) return sessionVersion(config, request, allowed);
-  const named = allowed.filter(version => matches(version, request.selector));
-  if (named.length === 0) return Left(notAllowed(request));
-  const usable = named.filter(version => takesNewWork(version, request));
-  if (usable.length === 0) return Left(nothingUsable(request));
+  if (request.session) return resolveSessionVersion(config, request, allowed);
+  const named = allowed.filter(version => matchesSelector(version, request.selector));
+  if (named.length === 0) return Left(createNotAllowedProblem(request));
+  const usable = named.filter(version => acceptsNewWork(version, request));
+  if (usable.length === 0) return Left(createNoUsableVersionProblem(request));
   return Right(
     usable.sort((a, b) => a.strength - b.strength || a.id.localeCompare(b.id)),
   );
 }
 
-function sessionVersion(
+function resolveSessionVersion(
   config: Configuration,
   request: VersionRequest,
   allowed: readonly Version[],
@@ -44,19 +44,19 @@
   const id = request.session!.version;
   const version = config.versions[id];
   if (!version || version.state === VersionState.WITHDRAWN)
-    return Left(sessionEnded(`version ${id} was withdrawn`));
+    return Left(createSessionEndedProblem(`version ${id} was withdrawn`));
   if (!allowed.includes(version))
     return Left(
-      sessionEnded(`version ${id} is no longer allowed for this task`),
+      createSessionEndedProblem(`version ${id} is no longer allowed for this task`),
     );
   if (isSuspect(version, request))
-    return Left(sessionEnded(`version ${id} was halted`));
+    return Left(createSessionEndedProblem(`version ${id} was halted`));
   if (request.stale && version.state === VersionState.ROLLING_OUT)
-    return Left(staleProblem());
+    return Left(createStaleProblem());
   return Right([version]);
 }
 
-function takesNewWork(version: Version, request: VersionRequest): boolean {
+function acceptsNewWork(version: Version, request: VersionRequest): boolean {
   if (isSuspect(version, request)) return false;
   if (version.state === VersionState.STABLE) return true;
   return version.state === VersionState.ROLLING_OUT && !request.stale;
@@ -66,13 +66,13 @@
   return version.suspect !== undefined || request.suspects.has(version.id);
 }
 
-function matches(version: Version, selector: string): boolean {
+function matchesSelector(version: Version, selector: string): boolean {
   return (
     selector === AUTO || selector === version.id || selector === version.model
   );
 }
 
-function unknownTask(task: string, known: readonly string[]): Problem {
+function createUnknownTaskProblem(task: string, known: readonly string[]): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: `this workspace has no task ${JSON.stringify(task)}`,
@@ -80,7 +80,7 @@
   });
 }
 
-function notAllowed(request: VersionRequest): Problem {
+function createNotAllowedProblem(request: VersionRequest): Problem {
   return new Problem({
     kind: ProblemKind.NOT_ALLOWED,
     what: `model ${JSON.stringify(request.selector)} is not allowed for task ${request.task}`,
@@ -88,7 +88,7 @@
   });
 }
 
-function nothingUsable(request: VersionRequest): Problem {
+function createNoUsableVersionProblem(request: VersionRequest): Problem {
   return new Problem({
     kind: ProblemKind.NO_RUNNER,
     what: `no version of ${JSON.stringify(request.selector)} takes new work now`,
@@ -97,7 +97,7 @@
   });
 }
 
-function sessionEnded(why: string): Problem {
+function createSessionEndedProblem(why: string): Problem {
   return new Problem({
     kind: ProblemKind.SESSION_ENDED,
     what: `the session has ended: ${why}`,
@@ -105,7 +105,7 @@
   });
 }
 
-function staleProblem(): Problem {
+function createStaleProblem(): Problem {
   return new Problem({
     kind: ProblemKind.STALE,
     what: 'this host is cut off from the configuration and must not run this request meanwhile',
--- a/packages/decisions/src/versions/pick_versions.ts
+++ b/packages/decisions/src/versions/pick_versions.ts
@@ -4,9 +4,9 @@
 interface Options {
   readonly random: RandomSource;
   /** Whether the exposure budget lets this version take another answer. */
-  readonly mayExpose: (version: Version) => boolean;
+  readonly hasExposureBudget: (version: Version) => boolean;
   /** Whether a runner in reach has it loaded. */
-  readonly isCarried: (version: Version) => boolean;
+  readonly isLoaded: (version: Version) => boolean;
 }
 
 /**
@@ -18,12 +18,12 @@
   eligible: readonly Version[],
   options: Options,
 ): Version[] {
-  const carried = eligible.filter(options.isCarried);
+  const carried = eligible.filter(options.isLoaded);
   const usable = carried.length > 0 ? carried : eligible;
   const models = [...new Set(usable.map(version => version.model))];
   return models
     .map(model =>
-      pickOne(
+      pickVersionOfModel(
         usable.filter(version => version.model === model),
         options,
       ),
@@ -31,7 +31,7 @@
     .filter(version => version !== undefined);
 }
 
-function pickOne(
+function pickVersionOfModel(
   versions: readonly Version[],
   options: Options,
 ): Version | undefined {
@@ -40,7 +40,7 @@
   for (const version of rolling) {
     const part = version.rollOut!.steps[version.rollOut!.step];
     const chosen = options.random.next() < part || settled.length === 0;
-    if (chosen && options.mayExpose(version)) return version;
+    if (chosen && options.hasExposureBudget(version)) return version;
   }
   return settled[options.random.below(settled.length)];
 }
--- a/packages/standins/src/engine/embedded_runner.ts
+++ b/packages/standins/src/engine/embedded_runner.ts
@@ -2,7 +2,7 @@
   CacheEvent,
   GenerateEvent,
   GenerateRequest,
-  Order,
+  RunnerOrder,
   Runner,
   RunnerReport,
 } from '@bayspool/decisions';
@@ -31,15 +31,15 @@
     return this.options.engine.generate(request, signal);
   }
 
-  async report(): Promise<RunnerReport> {
+  async fetchReport(): Promise<RunnerReport> {
     return this.options.engine.report();
   }
 
-  async cacheEvents(after: number): Promise<CacheEvent[]> {
+  async fetchCacheEvents(after: number): Promise<CacheEvent[]> {
     return this.options.engine.cacheEvents(after);
   }
 
-  async order(order: Order): Promise<void> {
+  async sendOrder(order: RunnerOrder): Promise<void> {
     this.options.engine.order(order);
   }
 }
--- a/packages/standins/src/engine/engine.ts
+++ b/packages/standins/src/engine/engine.ts
@@ -1,12 +1,12 @@
 import {
-  estimateTokens,
-  promptText,
+  estimateTokenCount,
+  renderPromptText,
   RunnerFailure,
   PriorityClass,
   type CacheEvent,
   type GenerateEvent,
   type GenerateRequest,
-  type Order,
+  type RunnerOrder,
   type RunnerReport,
 } from '@bayspool/decisions';
 import type {Timer} from '@bayspool/kernel';
@@ -60,7 +60,7 @@
   /** Loads of weights so far. */
   weightLoads = 0;
   /** Orders taken, newest last. */
-  readonly orders: Order[] = [];
+  readonly orders: RunnerOrder[] = [];
 
   constructor(options: EngineOptions) {
     this.options = {...DEFAULTS, ...options};
@@ -112,7 +112,7 @@
   }
 
   /** Takes an order; throws when it checks orders and has seen a higher token. */
-  order(order: Order): void {
+  order(order: RunnerOrder): void {
     if (this.options.checksOrders && order.fencingToken < this.highestToken) {
       throw new RunnerFailure({
         message: 'the fencing token is old',
@@ -167,7 +167,7 @@
     const work: Work = {
       request,
       tokens: bound > 0 ? bound : this.options.answerTokens,
-      promptTokens: estimateTokens(promptText(request.body)),
+      promptTokens: estimateTokenCount(renderPromptText(request.body)),
       arrived: this.options.clock.now(),
       emit: event => queue.push(event),
       next: request.resumeFrom,
@@ -239,7 +239,7 @@
     const {requestId, version} = work.request;
     const record = this.runs.findLast(run => run.requestId === requestId);
     if (work.next < work.tokens) {
-      const seed = `${version}/${promptText(work.request.body)}`;
+      const seed = `${version}/${renderPromptText(work.request.body)}`;
       work.emit({
         kind: 'token',
         requestId,
--- a/packages/standins/src/engine/engine_app.ts
+++ b/packages/standins/src/engine/engine_app.ts
@@ -114,7 +114,7 @@
     body,
     priority: body.priority,
     resumeFrom: body.resume.from,
-    given: body.resume.text,
+    generatedText: body.resume.text,
     prefixes: body.prefixes,
     headers: {},
   };
--- a/packages/standins/src/rating/memory_rating.ts
+++ b/packages/standins/src/rating/memory_rating.ts
@@ -1,4 +1,4 @@
-import type {Rating, RatingResult, RatingSample} from '@bayspool/decisions';
+import type {RatingService, RatingResult, RatingSample} from '@bayspool/decisions';
 import type {Clock, RandomSource} from '@bayspool/kernel';
 import {LongPolls} from '../polls/long_polls.js';
 import {answerQuality} from './answer_quality.js';
@@ -27,7 +27,7 @@
 const KEPT_MOST = 10_000;
 
 /** A service that rates answers late and with noise. The truth depends on request and version only. */
-export class MemoryRating implements Rating {
+export class MemoryRating implements RatingService {
   private readonly mailboxes = new Map<string, Mailbox>();
   /** May be changed while it runs, as when a version turns bad. */
   readonly quality: Record<string, number>;
@@ -56,7 +56,7 @@
     );
   }
 
-  async results(
+  async fetchResults(
     host: string,
     after: number,
     waitMs: number,
--- a/packages/standins/src/rating/rating_app.ts
+++ b/packages/standins/src/rating/rating_app.ts
@@ -39,7 +39,7 @@
     const {host, after, wait_ms: waitMs} = resultsQuery.parse(request.query);
     const left = new AbortController();
     response.on('close', () => left.abort());
-    response.json(await rating.results(host, after, waitMs, left.signal));
+    response.json(await rating.fetchResults(host, after, waitMs, left.signal));
   });
   app.post('/control', (request, response) => {
     const body = controlBody.parse(request.body);
--- a/packages/standins/src/service/embedded_service.ts
+++ b/packages/standins/src/service/embedded_service.ts
@@ -1,7 +1,7 @@
 import {Readable} from 'node:stream';
 import type {
-  PlainService,
-  ServiceAnswer,
+  ServiceRunner,
+  ServiceResponse,
   ServiceRequest,
 } from '@bayspool/decisions';
 import type {PackApp} from './pack_app.js';
@@ -14,7 +14,7 @@
 }
 
 /** A plain service inside the daemon's process. */
-export class EmbeddedService implements PlainService {
+export class EmbeddedService implements ServiceRunner {
   readonly id: string;
   readonly service: string;
   readonly place: string;
@@ -25,7 +25,7 @@
     this.place = options.place;
   }
 
-  async call(request: ServiceRequest): Promise<ServiceAnswer<Readable>> {
+  async call(request: ServiceRequest): Promise<ServiceResponse<Readable>> {
     const answer = await this.options.app.handle(request);
     return {...answer, body: Readable.from([answer.body])};
   }
--- a/packages/standins/src/service/pack_app.ts
+++ b/packages/standins/src/service/pack_app.ts
@@ -1,5 +1,5 @@
 import {randomUUID} from 'node:crypto';
-import type {ServiceAnswer, ServiceRequest} from '@bayspool/decisions';
+import type {ServiceResponse, ServiceRequest} from '@bayspool/decisions';
 import type {Clock} from '@bayspool/kernel';
 import {sleep} from '@bayspool/kernel';
 
@@ -23,7 +23,7 @@
 
   constructor(private readonly options: Options) {}
 
-  async handle(request: ServiceRequest): Promise<ServiceAnswer<Buffer>> {
+  async handle(request: ServiceRequest): Promise<ServiceResponse<Buffer>> {
     const path = request.path.split('?')[0];
     if (request.method === 'GET' && path === '/slips')
       return json(200, this.slips);
@@ -61,7 +61,7 @@
   };
 }
 
-function json(status: number, value: unknown): ServiceAnswer<Buffer> {
+function json(status: number, value: unknown): ServiceResponse<Buffer> {
   return {
     status,
     headers: {'content-type': 'application/json'},
