--- a/packages/bench/src/fuzz/fuzz_host.ts
+++ b/packages/bench/src/fuzz/fuzz_host.ts
@@ -83,7 +83,9 @@
       place: options.place,
       gate: this.gate,
       receive: message =>
-        this.kernel.container.get(daemonTokens.peerMessageHandler).handle(message),
+        this.kernel.container
+          .get(daemonTokens.peerMessageHandler)
+          .handle(message),
     });
   }
 
--- a/packages/daemon/src/billing/bill_recorder.ts
+++ b/packages/daemon/src/billing/bill_recorder.ts
@@ -123,7 +123,12 @@
 
   /** Before the process ends its bills have to stand in the log or at a peer; tried for a bounded time. */
   private async drainPending(): Promise<void> {
-    const {clock, shutdownTimeoutMs: stopWaitMs, replicator, logger} = this.options;
+    const {
+      clock,
+      shutdownTimeoutMs: stopWaitMs,
+      replicator,
+      logger,
+    } = this.options;
     const deadline = clock.now() + stopWaitMs;
     for (;;) {
       await this.flush();
@@ -189,8 +194,9 @@
 
   /** The living process of a host, here or in another place; nothing when it is not heard of. */
   private findBoot(host: string): string | undefined {
-    return this.options.membership.listAllHosts().find(entry => entry.id === host)
-      ?.boot;
+    return this.options.membership
+      .listAllHosts()
+      .find(entry => entry.id === host)?.boot;
   }
 
   private registerMethods(): void {
--- a/packages/daemon/src/billing/bill_replicator.ts
+++ b/packages/daemon/src/billing/bill_replicator.ts
@@ -67,7 +67,8 @@
   /** Gives bills to another host as its own; true when it took them. */
   async handOff(bills: readonly Bill[]): Promise<boolean> {
     return (
-      (await this.sendToAnyPeer(billMethods.adopt, {bills: [...bills]})) !== undefined
+      (await this.sendToAnyPeer(billMethods.adopt, {bills: [...bills]})) !==
+      undefined
     );
   }
 
@@ -104,7 +105,10 @@
 
   private listCandidates(): Peer[] {
     const {membership, identity} = this.options;
-    const inside = this.rotateRandomly(membership.listAvailablePeers()).slice(0, MAX_LOCAL_TRIES);
+    const inside = this.rotateRandomly(membership.listAvailablePeers()).slice(
+      0,
+      MAX_LOCAL_TRIES,
+    );
     const others = membership.listDigests().flatMap(digest => digest.hosts);
     const staying = others.filter(host => !host.leaving);
     const outside = this.rotateRandomly(staying).slice(0, MAX_REMOTE_TRIES);
--- a/packages/daemon/src/callers/authenticate.ts
+++ b/packages/daemon/src/callers/authenticate.ts
@@ -1,5 +1,9 @@
 import {timingSafeEqual} from 'node:crypto';
-import {hashAccessKey, type Configuration, type Workspace} from '@bayspool/decisions';
+import {
+  hashAccessKey,
+  type Configuration,
+  type Workspace,
+} from '@bayspool/decisions';
 import {Problem, ProblemKind} from '@bayspool/kernel';
 import {Left, Right, type Either} from 'purify-ts';
 
@@ -11,7 +15,10 @@
   authorization: string | undefined,
 ): Either<Problem, Workspace> {
   if (!authorization?.startsWith(SCHEME)) return Left(unauthorized());
-  const hash = Buffer.from(hashAccessKey(authorization.slice(SCHEME.length)), 'hex');
+  const hash = Buffer.from(
+    hashAccessKey(authorization.slice(SCHEME.length)),
+    'hex',
+  );
   let found: Workspace | undefined;
   for (const workspace of Object.values(config.workspaces)) {
     for (const configured of workspace.keyHashes) {
--- a/packages/daemon/src/callers/completions/leg_runner.ts
+++ b/packages/daemon/src/callers/completions/leg_runner.ts
@@ -148,7 +148,9 @@
           deadlineAt: request.deadlineAt,
           cost: estimateTokenCount(request.prompt) + 1,
           version: leg.version.id,
-          places: [...new Set([resolveServingPlace(store.current, home), home])],
+          places: [
+            ...new Set([resolveServingPlace(store.current, home), home]),
+          ],
           crossing: workspace.crossing,
           prefixes,
           avoid,
--- a/packages/daemon/src/callers/services/service_caller.ts
+++ b/packages/daemon/src/callers/services/service_caller.ts
@@ -185,7 +185,9 @@
           deadlineAt: serviceCall.deadlineAt,
           cost: 1,
           version: serviceCall.service,
-          places: [...new Set([resolveServingPlace(store.current, home), home])],
+          places: [
+            ...new Set([resolveServingPlace(store.current, home), home]),
+          ],
           crossing: workspace.crossing,
           prefixes: [],
           avoid,
--- a/packages/daemon/src/callers/tickets/claim_keeper.ts
+++ b/packages/daemon/src/callers/tickets/claim_keeper.ts
@@ -75,7 +75,10 @@
     } catch (error) {
       if (!this.table.findWinner(key)) throw logProblem(error);
     }
-    await this.waitUntil(() => this.table.findWinner(key) !== undefined, deadline);
+    await this.waitUntil(
+      () => this.table.findWinner(key) !== undefined,
+      deadline,
+    );
     return this.table.findWinner(key)!;
   }
 
--- a/packages/daemon/src/callers/tickets/key_claims.ts
+++ b/packages/daemon/src/callers/tickets/key_claims.ts
@@ -59,7 +59,9 @@
   private async isUnused(key: string): Promise<boolean> {
     const {membership, client, identity} = this.options;
     if (this.knows(key)) return false;
-    const others = membership.listKnown().filter(entry => entry.id !== identity.id);
+    const others = membership
+      .listKnown()
+      .filter(entry => entry.id !== identity.id);
     const replies = await Promise.all(
       others.map(entry =>
         client
--- a/packages/daemon/src/callers/tickets/keyed_answers.ts
+++ b/packages/daemon/src/callers/tickets/keyed_answers.ts
@@ -129,12 +129,17 @@
     call: CallerCall,
   ): Promise<StoredAnswer> {
     const {identity, store, membership} = this.options;
-    const [place] = selectByRendezvousHash(Object.keys(store.current.places), key, 1);
+    const [place] = selectByRendezvousHash(
+      Object.keys(store.current.places),
+      key,
+      1,
+    );
     if (place === identity.place) return this.answerOwn(key, call);
     if (!(place in membership.computePlaceAges()))
       return this.answerVacant(place, key, call);
     const hosts =
-      membership.listDigests().find(digest => digest.place === place)?.hosts ?? [];
+      membership.listDigests().find(digest => digest.place === place)?.hosts ??
+      [];
     const [target] = selectByRendezvousHash(
       hosts.filter(host => !host.leaving).map(host => host.address),
       key,
--- a/packages/daemon/src/configuration/configuration_follower.ts
+++ b/packages/daemon/src/configuration/configuration_follower.ts
@@ -101,7 +101,10 @@
   /** Takes over a peer's later state and reads on from there; false when it is not later or does not fit. */
   applyPeerState(state: Configuration): boolean {
     const {store} = this.options;
-    if (state.offset <= store.current.offset || !this.reader.discardCovered(state))
+    if (
+      state.offset <= store.current.offset ||
+      !this.reader.discardCovered(state)
+    )
       return false;
     store.advance(this.reader.foldPending(state));
     this.nextOffset = Math.max(this.nextOffset, store.current.offset + 1);
@@ -161,7 +164,8 @@
     const progress = this.reader.foldPage(store.current, this.nextOffset, page);
     this.nextOffset = progress.nextOffset;
     store.advance(progress.config);
-    if (!progress.hasGap && this.nextOffset >= page.next) freshness.recordEndRead(sentAt);
+    if (!progress.hasGap && this.nextOffset >= page.next)
+      freshness.recordEndRead(sentAt);
     if (progress.hasGap) await this.backOffAtGap();
   }
 
@@ -170,7 +174,11 @@
       'records are missing before the oldest one in the log',
       {position: this.nextOffset},
     );
-    await sleep(this.options.clock, this.backoff.nextDelayMs(), this.stopping.signal);
+    await sleep(
+      this.options.clock,
+      this.backoff.nextDelayMs(),
+      this.stopping.signal,
+    );
   }
 
   private async appendSeed(): Promise<void> {
--- a/packages/daemon/src/configuration/configuration_reader.ts
+++ b/packages/daemon/src/configuration/configuration_reader.ts
@@ -45,7 +45,11 @@
       this.pendingRecords.length === 0 &&
       (fresh[0]?.offset ?? page.first) <= config.offset + 1;
     if (contiguous)
-      return {config: this.foldAll(config, fresh), nextOffset: next, hasGap: false};
+      return {
+        config: this.foldAll(config, fresh),
+        nextOffset: next,
+        hasGap: false,
+      };
     this.pendingRecords.push(...fresh);
     const restored = this.restoreFromSnapshot(config);
     if (!restored) return {config, nextOffset: next, hasGap: true};
@@ -55,8 +59,13 @@
 
   /** The state was replaced by a peer's; what it covers need not be kept. */
   discardCovered(config: Configuration): boolean {
-    this.pendingRecords = this.pendingRecords.filter(record => record.offset > config.offset);
-    return this.pendingRecords.length === 0 || this.pendingRecords[0].offset === config.offset + 1;
+    this.pendingRecords = this.pendingRecords.filter(
+      record => record.offset > config.offset,
+    );
+    return (
+      this.pendingRecords.length === 0 ||
+      this.pendingRecords[0].offset === config.offset + 1
+    );
   }
 
   /** Folds what was kept onto a state that covers everything before it. */
@@ -86,10 +95,15 @@
     return foldRecord(config, record.offset, parsed);
   }
 
-  private restoreFromSnapshot(config: Configuration): Configuration | undefined {
+  private restoreFromSnapshot(
+    config: Configuration,
+  ): Configuration | undefined {
     for (const record of [...this.pendingRecords].reverse()) {
       const parsed = this.decode(record);
-      if (parsed?.type !== 'snapshot' || parsed.upTo < this.pendingRecords[0].offset - 1)
+      if (
+        parsed?.type !== 'snapshot' ||
+        parsed.upTo < this.pendingRecords[0].offset - 1
+      )
         continue;
       if (
         parsed.upTo < config.offset ||
--- a/packages/daemon/src/configuration/intent_submitter.ts
+++ b/packages/daemon/src/configuration/intent_submitter.ts
@@ -36,7 +36,10 @@
   constructor(private readonly options: Options) {}
 
   /** Gives the verdict, or nothing when the log did not show one in time. */
-  async submit(plan: IntentPlan, by: string): Promise<IntentVerdict | undefined> {
+  async submit(
+    plan: IntentPlan,
+    by: string,
+  ): Promise<IntentVerdict | undefined> {
     const {clock, random, log, seal, store, logger, timeoutMs} = this.options;
     const value = seal.seal({
       type: 'intent',
--- a/packages/daemon/src/configuration/staleness_guard.ts
+++ b/packages/daemon/src/configuration/staleness_guard.ts
@@ -30,7 +30,11 @@
   /** Resolves when the configuration is fresh, or when it cannot be made so now. */
   async refreshIfStale(): Promise<void> {
     if (!this.isStale()) return;
-    if (this.options.clock.now() - this.lastFailureAt < this.options.retryDelayMs) return;
+    if (
+      this.options.clock.now() - this.lastFailureAt <
+      this.options.retryDelayMs
+    )
+      return;
     this.pendingRefresh ??= this.refresh().finally(() => {
       this.pendingRefresh = undefined;
     });
--- a/packages/daemon/src/leaving/leaving_state.ts
+++ b/packages/daemon/src/leaving/leaving_state.ts
@@ -42,7 +42,8 @@
   rejectsNewWork(): boolean {
     return (
       this.isLeaving() &&
-      this.options.clock.now() - this.leavingSince! >= this.options.gracePeriodMs
+      this.options.clock.now() - this.leavingSince! >=
+        this.options.gracePeriodMs
     );
   }
 
--- a/packages/daemon/src/limits/workspace_limits.ts
+++ b/packages/daemon/src/limits/workspace_limits.ts
@@ -54,7 +54,11 @@
     );
   }
 
-  private bucketOf(gauge: Gauge, workspace: string, limit: WorkspaceLimit): TokenBucket {
+  private bucketOf(
+    gauge: Gauge,
+    workspace: string,
+    limit: WorkspaceLimit,
+  ): TokenBucket {
     const {clock} = this.options;
     const now = clock.now();
     if (gauge.bucket && now - gauge.resizedAt < RESIZE_MS) return gauge.bucket;
--- a/packages/daemon/src/operators/authenticate_operator.ts
+++ b/packages/daemon/src/operators/authenticate_operator.ts
@@ -10,7 +10,10 @@
   authorization: string | undefined,
 ): string | undefined {
   if (!authorization?.startsWith(SCHEME)) return undefined;
-  const hash = Buffer.from(hashAccessKey(authorization.slice(SCHEME.length)), 'hex');
+  const hash = Buffer.from(
+    hashAccessKey(authorization.slice(SCHEME.length)),
+    'hex',
+  );
   let found: string | undefined;
   for (const key of keys) {
     if (timingSafeEqual(hash, Buffer.from(key.hash, 'hex'))) found = key.name;
--- a/packages/daemon/src/operators/create_fleet_status.ts
+++ b/packages/daemon/src/operators/create_fleet_status.ts
@@ -1,4 +1,8 @@
-import type {Configuration, LogFreshness, Membership} from '@bayspool/decisions';
+import type {
+  Configuration,
+  LogFreshness,
+  Membership,
+} from '@bayspool/decisions';
 import type {HostIdentity} from '../host/host_identity.js';
 import type {RunnerPool} from '../runners/runner_pool.js';
 
@@ -19,18 +23,20 @@
     place: identity.place,
     offset: config.offset,
     configuration_age_ms: Number.isFinite(age) ? Math.round(age) : null,
-    places: [membership.createOwnDigest(), ...membership.listDigests()].map(digest => ({
-      place: digest.place,
-      heard_ms_ago: Math.round(digest.ageMs),
-      handed_over_to: config.places[digest.place]?.handedOverTo ?? null,
-      running: Object.values(digest.sums.running).reduce(
-        (sum, count) => sum + count,
-        0,
-      ),
-      /** How many hosts have each offset in force. */
-      offsets: digest.sums.offsets,
-      hosts: digest.hosts.map(({id, leaving}) => ({id, leaving})),
-    })),
+    places: [membership.createOwnDigest(), ...membership.listDigests()].map(
+      digest => ({
+        place: digest.place,
+        heard_ms_ago: Math.round(digest.ageMs),
+        handed_over_to: config.places[digest.place]?.handedOverTo ?? null,
+        running: Object.values(digest.sums.running).reduce(
+          (sum, count) => sum + count,
+          0,
+        ),
+        /** How many hosts have each offset in force. */
+        offsets: digest.sums.offsets,
+        hosts: digest.hosts.map(({id, leaving}) => ({id, leaving})),
+      }),
+    ),
     versions: Object.values(config.versions).map(version => ({
       id: version.id,
       state: version.state,
--- a/packages/daemon/src/operators/create_intent_status.ts
+++ b/packages/daemon/src/operators/create_intent_status.ts
@@ -105,13 +105,19 @@
   return 0;
 }
 
-function describeRequestWaits(verdict: IntentVerdict, running: number): string[] {
+function describeRequestWaits(
+  verdict: IntentVerdict,
+  running: number,
+): string[] {
   return running > 0
     ? [`${running} running requests at ${verdict.subject} to finish`]
     : [];
 }
 
-function describeRolloutWaits(config: Configuration, verdict: IntentVerdict): string[] {
+function describeRolloutWaits(
+  config: Configuration,
+  verdict: IntentVerdict,
+): string[] {
   if (verdict.kind !== 'roll-out' || !verdict.accepted) return [];
   const version = config.versions[verdict.subject];
   if (version?.suspect !== undefined)
--- a/packages/daemon/src/operators/intent_planner.ts
+++ b/packages/daemon/src/operators/intent_planner.ts
@@ -85,7 +85,8 @@
     const plan = this.openPlan(text);
     const known = this.options.store.findVerdict(plan.id);
     if (known) return toConfirmation(known);
-    if (plan.lapsesAt < this.options.clock.wall()) throw createExpiredPlanProblem();
+    if (plan.lapsesAt < this.options.clock.wall())
+      throw createExpiredPlanProblem();
     const verdict = await this.options.submitter.submit(plan, operator);
     if (verdict) return toConfirmation(verdict);
     return {
--- a/packages/daemon/src/operators/operator_server.ts
+++ b/packages/daemon/src/operators/operator_server.ts
@@ -84,7 +84,9 @@
         .type('text/plain; version=0.0.4')
         .send(await options.metrics.registry.metrics());
     });
-    app.use((request, response, next) => this.authenticate(request, response, next));
+    app.use((request, response, next) =>
+      this.authenticate(request, response, next),
+    );
     app.use(express.json({limit: MAX_BODY_SIZE, strict: false}));
     this.addIntentRoutes(app);
     this.addStatusRoutes(app);
@@ -98,7 +100,10 @@
         response: Response,
         _next: NextFunction,
       ) => {
-        void sendAnswer(response, errorAnswer(translateBodyError(error), randomUUID()));
+        void sendAnswer(
+          response,
+          errorAnswer(translateBodyError(error), randomUUID()),
+        );
       },
     );
     return app;
@@ -141,7 +146,9 @@
         throw createNotFoundProblem(
           'no intent with this id was read from the log; it may still come',
         );
-      response.json(createIntentStatus({config: store.current, membership, verdict}));
+      response.json(
+        createIntentStatus({config: store.current, membership, verdict}),
+      );
     });
   }
 
--- a/packages/daemon/src/orders/place_lease.ts
+++ b/packages/daemon/src/orders/place_lease.ts
@@ -95,6 +95,7 @@
       this.nextOffset = record.offset + 1;
     }
     const token = this.table.current(identity.place)?.token ?? -1;
-    if (token !== this.firstSeen.token) this.firstSeen = {token, at: clock.now()};
+    if (token !== this.firstSeen.token)
+      this.firstSeen = {token, at: clock.now()};
   }
 }
--- a/packages/daemon/src/peers/configuration_fetcher.ts
+++ b/packages/daemon/src/peers/configuration_fetcher.ts
@@ -132,7 +132,8 @@
     digest: string | undefined,
     address: string,
   ): void {
-    if (computeStateDigest(state) !== digest || !this.options.applyState(state)) return;
+    if (computeStateDigest(state) !== digest || !this.options.applyState(state))
+      return;
     this.options.onApplied();
     this.options.logger.info('configuration taken from a peer', {
       address,
--- a/packages/daemon/src/peers/gossip.ts
+++ b/packages/daemon/src/peers/gossip.ts
@@ -91,7 +91,9 @@
       this.runEvery(this.options.intervalMs, () => this.exchangeWithinPlace()),
     );
     this.loops.push(
-      this.runEvery(this.options.relayIntervalMs, () => this.exchangeAcrossPlaces()),
+      this.runEvery(this.options.relayIntervalMs, () =>
+        this.exchangeAcrossPlaces(),
+      ),
     );
   }
 
@@ -103,7 +105,10 @@
 
   /** Tells others at once: something changed that cannot wait for the next round. */
   async runNow(): Promise<void> {
-    await Promise.all([this.exchangeWithinPlace(), this.exchangeAcrossPlaces()]);
+    await Promise.all([
+      this.exchangeWithinPlace(),
+      this.exchangeAcrossPlaces(),
+    ]);
   }
 
   private async runEvery(
@@ -145,7 +150,9 @@
 
   private pickTargets(): HostState[] {
     const {membership, identity, fanout} = this.options;
-    const others = membership.listKnown().filter(entry => entry.id !== identity.id);
+    const others = membership
+      .listKnown()
+      .filter(entry => entry.id !== identity.id);
     const targets: HostState[] = [];
     while (targets.length < Math.min(fanout, others.length)) {
       if (this.callQueue.length === 0)
@@ -176,7 +183,11 @@
     const sentAt = clock.now();
     try {
       const reply = GossipMessage.parse(
-        await client.call(address, EXCHANGE_METHOD, this.createMessage(receiver)),
+        await client.call(
+          address,
+          EXCHANGE_METHOD,
+          this.createMessage(receiver),
+        ),
       );
       this.merge(reply, sentAt);
     } catch (error) {
@@ -192,7 +203,12 @@
   }
 
   private merge(message: GossipMessage, sentAt: number): void {
-    const {membership, freshness, identity, localHostState: ownState} = this.options;
+    const {
+      membership,
+      freshness,
+      identity,
+      localHostState: ownState,
+    } = this.options;
     if (message.from.id === identity.id) return;
     membership.mergeState(message.from, true);
     for (const entry of message.others) {
@@ -219,7 +235,10 @@
     }
   }
 
-  private createMessage(receiver: string, receiverIsNew = false): GossipMessage {
+  private createMessage(
+    receiver: string,
+    receiverIsNew = false,
+  ): GossipMessage {
     const {membership, freshness, localHostState: ownState} = this.options;
     const age = freshness.computeAgeMs();
     return {
@@ -245,7 +264,10 @@
   }
 
   private updateOwnState(): void {
-    this.options.membership.mergeState(this.options.localHostState.createState(), true);
+    this.options.membership.mergeState(
+      this.options.localHostState.createState(),
+      true,
+    );
   }
 
   private sample<T>(items: readonly T[], count: number): T[] {
--- a/packages/daemon/src/platform/http_rating_service.ts
+++ b/packages/daemon/src/platform/http_rating_service.ts
@@ -1,4 +1,8 @@
-import type {RatingService, RatingResult, RatingSample} from '@bayspool/decisions';
+import type {
+  RatingService,
+  RatingResult,
+  RatingSample,
+} from '@bayspool/decisions';
 import type {Got} from 'got';
 import {z} from 'zod';
 
--- a/packages/daemon/src/ratings/ratings_plugin.ts
+++ b/packages/daemon/src/ratings/ratings_plugin.ts
@@ -69,7 +69,8 @@
       membership,
       self: identity.id,
       filer: container.get(daemonTokens.intentSubmitter),
-      gate: section.gate === 'open' ? new RatingCountGate() : new SequentialGate(),
+      gate:
+        section.gate === 'open' ? new RatingCountGate() : new SequentialGate(),
       onHalt: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: section.interval,
       stepLeastMs: section['step-least'],
--- a/packages/daemon/src/ratings/roll_out_gate.ts
+++ b/packages/daemon/src/ratings/roll_out_gate.ts
@@ -163,11 +163,17 @@
     watch.good = evidence.good;
     watch.bad = evidence.bad;
     if (good + bad === 0) return;
-    const turnedBad = watch.drift.addRatings(good, bad, this.acceptableRate(version));
+    const turnedBad = watch.drift.addRatings(
+      good,
+      bad,
+      this.acceptableRate(version),
+    );
     if (turnedBad) this.halt(version, evidence);
     const now = this.options.clock.now();
-    for (let count = 0; count < good; count++) watch.longTerm.addRating(true, now);
-    for (let count = 0; count < bad; count++) watch.longTerm.addRating(false, now);
+    for (let count = 0; count < good; count++)
+      watch.longTerm.addRating(true, now);
+    for (let count = 0; count < bad; count++)
+      watch.longTerm.addRating(false, now);
   }
 
   /** The rate of bad answers that is accepted: what the model's stable version shows, else what the tasks ask for. */
@@ -244,7 +250,8 @@
     const known = this.watches.get(version);
     if (known?.stage === stage) return known;
     const longTerm =
-      known?.longTerm ?? new PassRateEstimate({halfLifeMs: LONG_TERM_HALF_LIFE_MS});
+      known?.longTerm ??
+      new PassRateEstimate({halfLifeMs: LONG_TERM_HALF_LIFE_MS});
     const watch = {
       stage,
       since: this.options.clock.now(),
--- a/packages/daemon/src/runners/http_runner.ts
+++ b/packages/daemon/src/runners/http_runner.ts
@@ -140,7 +140,10 @@
     return report.parse(await this.ask('/report', signal));
   }
 
-  async fetchCacheEvents(after: number, signal: AbortSignal): Promise<CacheEvent[]> {
+  async fetchCacheEvents(
+    after: number,
+    signal: AbortSignal,
+  ): Promise<CacheEvent[]> {
     return cacheEvents.parse(
       await this.ask(`/cache-events?after=${after}`, signal),
     );
--- a/packages/daemon/src/runners/runners_plugin.ts
+++ b/packages/daemon/src/runners/runners_plugin.ts
@@ -40,7 +40,10 @@
       random,
       isDrained,
       settings: poolSettingsOf(routing),
-      order: routing.order === 'fair' ? new StartTimeFairQueueing() : new FifoQueueing(),
+      order:
+        routing.order === 'fair'
+          ? new StartTimeFairQueueing()
+          : new FifoQueueing(),
       choice: chooserOf(routing, random),
       crossing: new CrossingPolicy({
         startLoad: routing['crossing-enter'],
--- a/packages/daemon/src/runners/target_pool.ts
+++ b/packages/daemon/src/runners/target_pool.ts
@@ -40,8 +40,15 @@
 
   constructor(private readonly options: Options<T>) {
     const {clock, order, settings} = options;
-    this.queue = new AdmissionQueue({clock, discipline: order, maxPerClass: settings.queueMost});
-    this.estimate = new QueueWaitEstimator({clock, windowMs: ESTIMATE_WINDOW_MS});
+    this.queue = new AdmissionQueue({
+      clock,
+      discipline: order,
+      maxPerClass: settings.queueMost,
+    });
+    this.estimate = new QueueWaitEstimator({
+      clock,
+      windowMs: ESTIMATE_WINDOW_MS,
+    });
   }
 
   /** @param offers What the runner serves until it reports. */
@@ -98,7 +105,9 @@
   }
 
   private refuseHopeless(demand: Demand): Problem | undefined {
-    const wait = this.estimate.estimateWaitMs(this.queue.countWaiting(demand.priority));
+    const wait = this.estimate.estimateWaitMs(
+      this.queue.countWaiting(demand.priority),
+    );
     if (this.options.clock.now() + wait < demand.deadlineAt) return undefined;
     return new Problem({
       kind: ProblemKind.DEADLINE,
--- a/packages/decisions/src/billing/bill_outbox.ts
+++ b/packages/decisions/src/billing/bill_outbox.ts
@@ -30,7 +30,12 @@
   }
 
   /** Keeps a peer's bill; false when there is no room for it. */
-  holdForPeer(bill: Bill, owner: string, boot: string, heldAt: number): boolean {
+  holdForPeer(
+    bill: Bill,
+    owner: string,
+    boot: string,
+    heldAt: number,
+  ): boolean {
     if (!this.hasCapacity()) return false;
     this.held.set(bill.id, {bill, owner, boot, heldAt});
     return true;
--- a/packages/decisions/src/cascade/learned_cascade.test.ts
+++ b/packages/decisions/src/cascade/learned_cascade.test.ts
@@ -43,7 +43,10 @@
       expectedMs: 500,
     },
   ];
-  const policy = new LearnedCascade({random: new SeededRandom(1), explorationRate: 0});
+  const policy = new LearnedCascade({
+    random: new SeededRandom(1),
+    explorationRate: 0,
+  });
   return policy
     .plan(candidates, {...request, ...overrides})
     .legs.map(leg => leg.id);
--- a/packages/decisions/src/cascade/learned_cascade.ts
+++ b/packages/decisions/src/cascade/learned_cascade.ts
@@ -58,7 +58,8 @@
     candidate: CascadeCandidate,
     request: CascadeRequest,
   ): boolean {
-    if (candidate.estimate.effectiveRatings() < this.options.minRatings) return false;
+    if (candidate.estimate.effectiveRatings() < this.options.minRatings)
+      return false;
     return (
       candidate.estimate.lowerBound(request.now, this.options.deviations) >=
       request.quality
--- a/packages/decisions/src/cascade/pass_rate_estimate.ts
+++ b/packages/decisions/src/cascade/pass_rate_estimate.ts
@@ -22,7 +22,10 @@
   /** The posterior mean. */
   mean(now: number): number {
     this.decay(now);
-    return (this.good + PRIOR_RATINGS) / (this.effectiveRatings() + 2 * PRIOR_RATINGS);
+    return (
+      (this.good + PRIOR_RATINGS) /
+      (this.effectiveRatings() + 2 * PRIOR_RATINGS)
+    );
   }
 
   /** The mean less `deviations` standard deviations, at least 0. */
--- a/packages/decisions/src/configuration/apply_intent.ts
+++ b/packages/decisions/src/configuration/apply_intent.ts
@@ -133,7 +133,10 @@
   return Right({...version, suspect: undefined});
 }
 
-function advanceRollOut(version: Version, step: number): Either<Refusal, Version> {
+function advanceRollOut(
+  version: Version,
+  step: number,
+): Either<Refusal, Version> {
   if (!version.rollOut || version.suspect !== undefined)
     return Left(`version ${version.id} is not rolling out`);
   if (step !== version.rollOut.step + 1)
@@ -143,7 +146,10 @@
   return Right({...version, rollOut: {...version.rollOut, step}});
 }
 
-function haltVersion(version: Version, evidence: string): Either<Refusal, Version> {
+function haltVersion(
+  version: Version,
+  evidence: string,
+): Either<Refusal, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn`);
   if (version.suspect !== undefined)
--- a/packages/decisions/src/configuration/describe_hazards.ts
+++ b/packages/decisions/src/configuration/describe_hazards.ts
@@ -50,7 +50,9 @@
 function findTasksWithoutVersion(config: Configuration): string[] {
   return Object.values(config.workspaces).flatMap(workspace =>
     Object.entries(workspace.tasks)
-      .filter(([, task]) => !task.versions.some(id => acceptsNewWork(config, id)))
+      .filter(
+        ([, task]) => !task.versions.some(id => acceptsNewWork(config, id)),
+      )
       .map(([task]) => `task ${task} of workspace ${workspace.id}`),
   );
 }
--- a/packages/decisions/src/configuration/describe_steps.ts
+++ b/packages/decisions/src/configuration/describe_steps.ts
@@ -1,7 +1,8 @@
 import type {Configuration} from './configuration.js';
 import type {Intent} from './intent.js';
 
-const WAIT_UNTIL_IN_FORCE = 'wait until every host reports the configuration in force';
+const WAIT_UNTIL_IN_FORCE =
+  'wait until every host reports the configuration in force';
 
 /** The steps of an intent, in words, in the order in which they happen. */
 export function describeSteps(config: Configuration, intent: Intent): string[] {
--- a/packages/decisions/src/configuration/fold_record.ts
+++ b/packages/decisions/src/configuration/fold_record.ts
@@ -56,10 +56,13 @@
   return applyIntent(config, record.intent).caseOf({
     Left: reason => recordVerdict(config, {...common, accepted: false, reason}),
     Right: changed =>
-      recordVerdict(recordRevisions(changed, listTouchedObjects(record.intent)), {
-        ...common,
-        accepted: true,
-      }),
+      recordVerdict(
+        recordRevisions(changed, listTouchedObjects(record.intent)),
+        {
+          ...common,
+          accepted: true,
+        },
+      ),
   });
 }
 
@@ -84,7 +87,10 @@
   return {...config, revisions: {...config.revisions, ...changed}};
 }
 
-function recordVerdict(config: Configuration, verdict: IntentVerdict): Configuration {
+function recordVerdict(
+  config: Configuration,
+  verdict: IntentVerdict,
+): Configuration {
   return {
     ...config,
     verdicts: [...config.verdicts, verdict].slice(-MAX_VERDICTS),
--- a/packages/decisions/src/configuration/list_touched_objects.ts
+++ b/packages/decisions/src/configuration/list_touched_objects.ts
@@ -29,7 +29,9 @@
   }
 }
 
-function getUndrainTarget(intent: Extract<Intent, {kind: 'undrain'}>): ObjectKey {
+function getUndrainTarget(
+  intent: Extract<Intent, {kind: 'undrain'}>,
+): ObjectKey {
   if (intent.host) return `host/${intent.host}`;
   if (intent.runner) return `runner/${intent.runner}`;
   return `place/${intent.place}`;
--- a/packages/decisions/src/configuration/plan_intent.ts
+++ b/packages/decisions/src/configuration/plan_intent.ts
@@ -26,7 +26,10 @@
       steps: describeSteps(config, intent),
       hazards: describeHazards(config, after, intent),
       basis: Object.fromEntries(
-        listTouchedObjects(intent).map(key => [key, config.revisions[key] ?? -1]),
+        listTouchedObjects(intent).map(key => [
+          key,
+          config.revisions[key] ?? -1,
+        ]),
       ),
       lapsesAt,
     }));
--- a/packages/decisions/src/limits/limits.test.ts
+++ b/packages/decisions/src/limits/limits.test.ts
@@ -52,7 +52,12 @@
   const parts = groups.flatMap(demands => {
     const totalDemand = demands.reduce((sum, demand) => sum + demand, 0);
     return demands.map(ownDemand =>
-      computeLimitShare({ownDemand, totalDemand, aliveHosts: demands.length, fleetHosts: fleet}),
+      computeLimitShare({
+        ownDemand,
+        totalDemand,
+        aliveHosts: demands.length,
+        fleetHosts: fleet,
+      }),
     );
   });
   const sum = parts.reduce((total, part) => total + part, 0);
--- a/packages/decisions/src/limits/start_time_fair_queueing.ts
+++ b/packages/decisions/src/limits/start_time_fair_queueing.ts
@@ -22,7 +22,10 @@
   assignTag(item: QueuedRequest): number {
     const band = selectBand(item);
     const flow = `${item.priority}/${item.workspace}`;
-    const start = Math.max(this.virtualTime[band], this.finishTags.get(flow) ?? 0);
+    const start = Math.max(
+      this.virtualTime[band],
+      this.finishTags.get(flow) ?? 0,
+    );
     this.finishTags.set(
       flow,
       start + item.cost / (item.weight * CLASS_WEIGHTS[item.priority]),
--- a/packages/decisions/src/membership/digest_delta_tracker.test.ts
+++ b/packages/decisions/src/membership/digest_delta_tracker.test.ts
@@ -100,11 +100,11 @@
   clock.advance(10_000);
   const membership = membershipOf(clock);
   const news = (offset: number, ageMs: number) => ({
-    ...new DigestDeltaTracker({clock, minIntervalMs: 0, ageOnlyIntervalMs: 0}).createDeltas(
-      'b-1',
-      'b',
-      [digestOf('a', offset)],
-    )[0],
+    ...new DigestDeltaTracker({
+      clock,
+      minIntervalMs: 0,
+      ageOnlyIntervalMs: 0,
+    }).createDeltas('b-1', 'b', [digestOf('a', offset)])[0],
     ageMs,
   });
   membership.mergeDelta(news(2, 0));
--- a/packages/decisions/src/membership/digest_delta_tracker.ts
+++ b/packages/decisions/src/membership/digest_delta_tracker.ts
@@ -56,7 +56,10 @@
     this.getSentDigests(peer).delete(place);
   }
 
-  private createDelta(receiver: string, digest: PlaceDigest): PlaceDigestDelta | undefined {
+  private createDelta(
+    receiver: string,
+    digest: PlaceDigest,
+  ): PlaceDigestDelta | undefined {
     const {clock, minIntervalMs: pauseMs} = this.options;
     const {place, ageMs, hosts, sums} = digest;
     const madeAt = clock.now() - ageMs;
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -140,7 +140,11 @@
 
   /** The digest of the own place. */
   createOwnDigest(): PlaceDigest {
-    return createPlaceDigest(this.options.place, this.listAlive(), this.listKnown());
+    return createPlaceDigest(
+      this.options.place,
+      this.listAlive(),
+      this.listKnown(),
+    );
   }
 
   /** All living hosts of all places. */
--- a/packages/decisions/src/membership/sum_version_ratings.ts
+++ b/packages/decisions/src/membership/sum_version_ratings.ts
@@ -16,7 +16,9 @@
   return sum;
 }
 
-function findMostReportedStage(all: readonly VersionRatings[]): string | undefined {
+function findMostReportedStage(
+  all: readonly VersionRatings[],
+): string | undefined {
   const holders = new Map<string, number>();
   for (const {stage} of all) holders.set(stage, (holders.get(stage) ?? 0) + 1);
   const ranked = [...holders].sort(
--- a/packages/decisions/src/prompts/render_prompt_text.ts
+++ b/packages/decisions/src/prompts/render_prompt_text.ts
@@ -1,8 +1,12 @@
 /** All text of a chat body's messages in order, with roles, as engines would lay it out. */
-export function renderPromptText(body: Readonly<Record<string, unknown>>): string {
+export function renderPromptText(
+  body: Readonly<Record<string, unknown>>,
+): string {
   const messages = Array.isArray(body.messages) ? body.messages : [];
   return messages
-    .map(message => `${message?.role}\n${extractContentText(message?.content)}\n`)
+    .map(
+      message => `${message?.role}\n${extractContentText(message?.content)}\n`,
+    )
     .join('');
 }
 
--- a/packages/decisions/src/routing/least_predicted_wait.ts
+++ b/packages/decisions/src/routing/least_predicted_wait.ts
@@ -26,7 +26,11 @@
   private readonly options: Required<Options>;
 
   constructor(options: Options) {
-    this.options = {sampleCount: SAMPLE_COUNT, crossingMs: CROSSING_MS, ...options};
+    this.options = {
+      sampleCount: SAMPLE_COUNT,
+      crossingMs: CROSSING_MS,
+      ...options,
+    };
   }
 
   choose(
@@ -69,7 +73,10 @@
   chain: readonly string[],
 ): RunnerView | undefined {
   if (chain.length === 0) return undefined;
-  const best = findLeast(runners, runner => -runner.prefixes.countCached(chain));
+  const best = findLeast(
+    runners,
+    runner => -runner.prefixes.countCached(chain),
+  );
   return best && best.prefixes.countCached(chain) > 0 ? best : undefined;
 }
 
--- a/packages/decisions/src/routing/runner_health.ts
+++ b/packages/decisions/src/routing/runner_health.ts
@@ -31,7 +31,11 @@
 
   recordFailure(): void {
     this.consecutiveFailures++;
-    if (this.consecutiveFailures < this.options.failuresMost || this.isEjected()) return;
+    if (
+      this.consecutiveFailures < this.options.failuresMost ||
+      this.isEjected()
+    )
+      return;
     const length = Math.min(
       this.options.ejectMs * 2 ** this.consecutiveEjections,
       this.options.ejectMostMs,
--- a/packages/decisions/src/routing/runner_prefix_cache.ts
+++ b/packages/decisions/src/routing/runner_prefix_cache.ts
@@ -28,7 +28,8 @@
   applyEvents(events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.position <= this.lastPosition) continue;
-      if (event.position !== this.lastPosition + 1) this.storedAtByPrefix.clear();
+      if (event.position !== this.lastPosition + 1)
+        this.storedAtByPrefix.clear();
       this.lastPosition = event.position;
       if (event.kind === 'evicted') this.storedAtByPrefix.delete(event.prefix);
       else this.store(event.prefix);
--- a/packages/decisions/src/sealing/parse_seal_keys.ts
+++ b/packages/decisions/src/sealing/parse_seal_keys.ts
@@ -9,7 +9,8 @@
   return text.split(',').map(item => {
     const [id, ...rest] = item.trim().split(SEPARATOR);
     const secret = rest.join(SEPARATOR);
-    if (id === '' || secret.length < MIN_SECRET_LENGTH) throw createKeyProblem();
+    if (id === '' || secret.length < MIN_SECRET_LENGTH)
+      throw createKeyProblem();
     return {id, secret};
   });
 }
--- a/packages/decisions/src/sealing/sealer.ts
+++ b/packages/decisions/src/sealing/sealer.ts
@@ -28,7 +28,9 @@
     const parts = text.split('.');
     if (parts.length !== PART_COUNT) return Left('malformed');
     const [body, keyId, mac] = parts;
-    return this.verifyMac(body, `${keyId}.${mac}`).chain(() => parsePayload(body));
+    return this.verifyMac(body, `${keyId}.${mac}`).chain(() =>
+      parsePayload(body),
+    );
   }
 
   /** Gives `keyId.mac` for a text that travels beside it. */
@@ -47,7 +49,9 @@
     const id = Buffer.from(keyId, 'base64url').toString();
     const key = this.options.keys.find(candidate => candidate.id === id);
     if (!key) return Left('unknown key');
-    return equalsInConstantTime(mac, this.computeMac(text, key)) ? Right(true) : Left('forged');
+    return equalsInConstantTime(mac, this.computeMac(text, key))
+      ? Right(true)
+      : Left('forged');
   }
 
   private computeMac(text: string, key: SealKey): string {
--- a/packages/decisions/src/sessions/session_sealer.ts
+++ b/packages/decisions/src/sessions/session_sealer.ts
@@ -17,14 +17,18 @@
       .mapLeft(createInvalidSessionProblem)
       .chain(parseSession)
       .chain(session =>
-        session.workspace === workspace ? Right(session) : Left(createInvalidSessionProblem()),
+        session.workspace === workspace
+          ? Right(session)
+          : Left(createInvalidSessionProblem()),
       );
   }
 }
 
 function parseSession(value: unknown): Either<Problem, Session> {
   const parsed = Session.safeParse(value);
-  return parsed.success ? Right(parsed.data) : Left(createInvalidSessionProblem());
+  return parsed.success
+    ? Right(parsed.data)
+    : Left(createInvalidSessionProblem());
 }
 
 function createInvalidSessionProblem(): Problem {
--- a/packages/decisions/src/tickets/idempotency_cache.ts
+++ b/packages/decisions/src/tickets/idempotency_cache.ts
@@ -70,7 +70,11 @@
   }
 
   /** Takes over an answer that another host gave; nothing means that it is no longer known. */
-  adoptAnswer(key: string, fingerprint: string, answer: Answer | undefined): void {
+  adoptAnswer(
+    key: string,
+    fingerprint: string,
+    answer: Answer | undefined,
+  ): void {
     if (answer === undefined) this.expiredKeys.add(key);
     else this.runOnce(key, fingerprint, () => Promise.resolve(answer));
   }
--- a/packages/decisions/src/versions/find_eligible_versions.ts
+++ b/packages/decisions/src/versions/find_eligible_versions.ts
@@ -20,14 +20,21 @@
   const workspace = config.workspaces[request.workspace];
   const task = workspace?.tasks[request.task];
   if (!task)
-    return Left(createUnknownTaskProblem(request.task, Object.keys(workspace?.tasks ?? {})));
+    return Left(
+      createUnknownTaskProblem(
+        request.task,
+        Object.keys(workspace?.tasks ?? {}),
+      ),
+    );
   if (request.stale && workspace.whenStale === StalePolicy.REFUSE)
     return Left(createStaleProblem());
   const allowed = task.versions
     .map(id => config.versions[id])
     .filter(version => version !== undefined);
   if (request.session) return resolveSessionVersion(config, request, allowed);
-  const named = allowed.filter(version => matchesSelector(version, request.selector));
+  const named = allowed.filter(version =>
+    matchesSelector(version, request.selector),
+  );
   if (named.length === 0) return Left(createNotAllowedProblem(request));
   const usable = named.filter(version => acceptsNewWork(version, request));
   if (usable.length === 0) return Left(createNoUsableVersionProblem(request));
@@ -47,7 +54,9 @@
     return Left(createSessionEndedProblem(`version ${id} was withdrawn`));
   if (!allowed.includes(version))
     return Left(
-      createSessionEndedProblem(`version ${id} is no longer allowed for this task`),
+      createSessionEndedProblem(
+        `version ${id} is no longer allowed for this task`,
+      ),
     );
   if (isSuspect(version, request))
     return Left(createSessionEndedProblem(`version ${id} was halted`));
@@ -72,7 +81,10 @@
   );
 }
 
-function createUnknownTaskProblem(task: string, known: readonly string[]): Problem {
+function createUnknownTaskProblem(
+  task: string,
+  known: readonly string[],
+): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: `this workspace has no task ${JSON.stringify(task)}`,
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -190,7 +190,8 @@
   ): readonly Runner[] {
     if (preferred !== undefined)
       return available.filter(({entry: {version}}) => version === preferred);
-    const unexplained = this.options.directory.listVersionsAwaitingOrder(service);
+    const unexplained =
+      this.options.directory.listVersionsAwaitingOrder(service);
     return available.filter(
       ({entry: {version}}) => version !== avoided && !unexplained.has(version),
     );
--- a/packages/gateway/src/calls/call_candidates.ts
+++ b/packages/gateway/src/calls/call_candidates.ts
@@ -26,7 +26,8 @@
   /** Explains why a call has no candidate. */
   explainNone({service, regions}: IncomingCall): string {
     const isRestricted = regions !== undefined;
-    const hasRunners = this.options.directory.listAcceptingCalls(service).length > 0;
+    const hasRunners =
+      this.options.directory.listAcceptingCalls(service).length > 0;
     return isRestricted && hasRunners
       ? 'no runner in an allowed region'
       : 'no runner';
--- a/packages/gateway/src/calls/escalation_policy.ts
+++ b/packages/gateway/src/calls/escalation_policy.ts
@@ -81,7 +81,9 @@
     const {route, service} = progress.call;
     const choice = chooseRunner(progress, cascade.largestModel(route));
     if (!choice) return undefined;
-    const pendingMs = chooser.computeMeanPendingMs(directory.listAcceptingCalls(service));
+    const pendingMs = chooser.computeMeanPendingMs(
+      directory.listAcceptingCalls(service),
+    );
     return {
       expectedMs: estimateLatencyMs(choice),
       workMs: choice.workMs,
--- a/packages/gateway/src/discovery/runner_directory.ts
+++ b/packages/gateway/src/discovery/runner_directory.ts
@@ -90,12 +90,14 @@
     const now = this.options.clock.now();
     const held = new Set<string>();
     for (const [version, at] of seen ?? [])
-      if (at !== this.loadedAt && now - at < ROLLOUT_ORDER_GRACE_MS) held.add(version);
+      if (at !== this.loadedAt && now - at < ROLLOUT_ORDER_GRACE_MS)
+        held.add(version);
     return held;
   }
 
   private recordVersion({service, version}: RunnerEntry): void {
-    const seen = this.firstSeenByVersion.get(service) ?? new Map<string, number>();
+    const seen =
+      this.firstSeenByVersion.get(service) ?? new Map<string, number>();
     this.firstSeenByVersion.set(service, seen);
     if (seen.has(version)) return;
     // A service's first version needs no order.
@@ -120,7 +122,8 @@
     if (this.isOutdated(entry)) return;
     this.unreadable.delete(id);
     this.cancelLapseTimer(id);
-    if (this.isRestart(entry)) this.removeRunner(id, 'started again under its id');
+    if (this.isRestart(entry))
+      this.removeRunner(id, 'started again under its id');
     const known = this.runners.get(id);
     const wasDraining = known?.entry.isDraining ?? false;
     this.recordVersion(entry);
@@ -188,13 +191,19 @@
     const now = clock.now();
     const sinceReturn = now - freshness.outageEndedAt;
     const mayHaveLapsed =
-      isReload || freshness.isStaleAt(now) || sinceReturn < POST_OUTAGE_WINDOW_MS;
+      isReload ||
+      freshness.isStaleAt(now) ||
+      sinceReturn < POST_OUTAGE_WINDOW_MS;
     if (!mayHaveLapsed || runner.entry.isDraining) {
       this.removeRunner(record.key, 'entry removed');
       return;
     }
     const {id, service} = runner.entry;
-    log.write('runner_lapsed', {runner: id, service, keptMs: LAPSED_RUNNER_TTL_MS});
+    log.write('runner_lapsed', {
+      runner: id,
+      service,
+      keptMs: LAPSED_RUNNER_TTL_MS,
+    });
     const timer = clock.after(LAPSED_RUNNER_TTL_MS, () => {
       this.removeRunner(id, 'entry not back after an outage of the store');
     });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -112,7 +112,9 @@
     await this.metricsServer.start().catch(error => {
       log.write('unexpected', {where: 'metrics', message: String(error)});
     });
-    void this.stateSynchronizer.startFollowing().then(() => this.hostRegistration.run());
+    void this.stateSynchronizer
+      .startFollowing()
+      .then(() => this.hostRegistration.run());
     this.rolloutController.start();
     this.eventLoopLag.start();
     this.stallDetector.start();
@@ -206,7 +208,13 @@
 
   private createRolloutController(): RolloutController {
     const {ageClock, log, store, reader, settings} = this.options;
-    const {mirrors, hostDirectory: roster, rollouts, runnerLoads: loads, rolloutStarts: starts} = this.state;
+    const {
+      mirrors,
+      hostDirectory: roster,
+      rollouts,
+      runnerLoads: loads,
+      rolloutStarts: starts,
+    } = this.state;
     return new RolloutController({
       clock: ageClock,
       log,
@@ -236,15 +244,22 @@
       port: settings.callerPort,
       maxKeyAgeMs: () => this.maxKeyAgeMs(),
       maxDenialAgeMs: () => this.settings.configurationBoundMs,
-      mayPredateConfiguration: () => this.stallDetector.mayPredateConfiguration(),
+      mayPredateConfiguration: () =>
+        this.stallDetector.mayPredateConfiguration(),
       isClosing: () => this.gracefulShutdown.hasStarted,
     });
   }
 
   private createCallForwarder(): CallForwarder {
     const {clock, random, log, headerNames, settings} = this.options;
-    const {directory, runnerGate: gate, serviceLimits: limits, runnerLoads: loads, prefixes, quarantine} =
-      this.state;
+    const {
+      directory,
+      runnerGate: gate,
+      serviceLimits: limits,
+      runnerLoads: loads,
+      prefixes,
+      quarantine,
+    } = this.state;
     const {rollouts, hostDirectory: roster, sessions} = this.state;
     const assigned = new RunnerSubset({
       clock,
@@ -291,7 +306,9 @@
   private runMaintenance(): void {
     const {clock, log} = this.options;
     const {configuration: belief, directory, quarantine} = this.state;
-    this.maintenanceTimer = clock.after(MAINTENANCE_INTERVAL_MS, () => this.runMaintenance());
+    this.maintenanceTimer = clock.after(MAINTENANCE_INTERVAL_MS, () =>
+      this.runMaintenance(),
+    );
     for (const {pool} of directory.all()) pool.closeExpired();
     quarantine.review();
     const ageMs = Math.round(belief.ageMs);
--- a/packages/gateway/src/host/declared_limit_exchange.test.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.test.ts
@@ -46,12 +46,18 @@
 void test('of what several hosts heard the newest counts, in whichever order it comes', () => {
   const host = createHost();
   host.clock.advance(10_000);
-  host.limits.applyPeerObservations([{runner: 'one', perSecond: 2, ageMs: 500}], 0);
+  host.limits.applyPeerObservations(
+    [{runner: 'one', perSecond: 2, ageMs: 500}],
+    0,
+  );
   host.limits.applyPeerObservations([{runner: 'one', ageMs: 800}], 0);
   assert.equal(host.limit().perSecond, 2);
   host.limits.applyPeerObservations([{runner: 'one', ageMs: 100}], 0);
   assert.equal(host.limit().perSecond, undefined);
-  host.limits.applyPeerObservations([{runner: 'one', perSecond: 2, ageMs: 400}], 0);
+  host.limits.applyPeerObservations(
+    [{runner: 'one', perSecond: 2, ageMs: 400}],
+    0,
+  );
   assert.equal(host.limit().perSecond, undefined);
 });
 
--- a/packages/gateway/src/host/declared_limit_exchange.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.ts
@@ -61,7 +61,10 @@
    *
    * @param sinceMs time since it told that at most, in ms; 0 if that is not known
    */
-  applyPeerObservations(news: readonly LimitObservation[], sinceMs: number): void {
+  applyPeerObservations(
+    news: readonly LimitObservation[],
+    sinceMs: number,
+  ): void {
     if (news.length === 0) return;
     const asOf = this.options.clock.now() - sinceMs;
     const byStart = new Map(news.map(one => [one.runner, one]));
--- a/packages/gateway/src/host/host_state.ts
+++ b/packages/gateway/src/host/host_state.ts
@@ -135,7 +135,8 @@
     const named = new DeclaredLimitBound({
       clock,
       host: settings.host,
-      hosts: () => (this.hostDirectory.isLoaded ? this.hostDirectory.listRegistered() : []),
+      hosts: () =>
+        this.hostDirectory.isLoaded ? this.hostDirectory.listRegistered() : [],
       tolerance: () => getLimitTolerance(liveSettings()),
     });
     const sent = new SentCalls({clock, retentionMs: SENT_CALL_TTL_MS});
@@ -174,7 +175,8 @@
       sessions: this.sessions,
       orders: freshness,
       states: mirrors[Topic.STATUS],
-      isConnected: () => ageClock.now() - freshness.freshAsOf < CONNECTED_MAX_AGE_MS,
+      isConnected: () =>
+        ageClock.now() - freshness.freshAsOf < CONNECTED_MAX_AGE_MS,
       startRecords: this.rolloutStarts,
       hostCount: () => this.hostDirectory.liveCount,
       exposureBounds: () => {
@@ -183,7 +185,13 @@
       },
     });
     this.quarantine = new Quarantine({clock});
-    const {directory, rollouts, prefixes, quarantine, hostDirectory: roster} = this;
+    const {
+      directory,
+      rollouts,
+      prefixes,
+      quarantine,
+      hostDirectory: roster,
+    } = this;
     this.quarantineSynchronizer = new QuarantineSynchronizer({
       clock,
       log,
--- a/packages/gateway/src/host/runner_load_exchange.ts
+++ b/packages/gateway/src/host/runner_load_exchange.ts
@@ -59,7 +59,12 @@
   }
 
   /** Takes over what the other hosts told, summed over them. */
-  applyPeerDigest({runners, rollouts, parts = {}, quarantine}: LoadDigest): void {
+  applyPeerDigest({
+    runners,
+    rollouts,
+    parts = {},
+    quarantine,
+  }: LoadDigest): void {
     const {clock, directory, prefixes} = this.options;
     this.lastAppliedAt = clock.now();
     for (const runner of directory.all()) {
--- a/packages/gateway/src/host/service_limits.ts
+++ b/packages/gateway/src/host/service_limits.ts
@@ -43,7 +43,8 @@
     const all =
       this.options.configuration.current?.services.get(service)?.maxConnections;
     if (all === undefined) return MIN_CONNECTIONS;
-    const share = (all * CONNECTION_FRACTION) / this.options.hostDirectory.liveCount;
+    const share =
+      (all * CONNECTION_FRACTION) / this.options.hostDirectory.liveCount;
     return Math.max(MIN_CONNECTIONS, Math.floor(share));
   }
 
@@ -60,7 +61,12 @@
   retryBudgetOf(service: string): SharedRetryBudget {
     const known = this.retryBudgets.get(service);
     if (known) return known;
-    const {clock, currentSettings: settings, retryWindowMs, hostDirectory: roster} = this.options;
+    const {
+      clock,
+      currentSettings: settings,
+      retryWindowMs,
+      hostDirectory: roster,
+    } = this.options;
     const budget = new SharedRetryBudget({
       clock,
       ratio: () => settings().retryRatio,
@@ -93,7 +99,8 @@
 
   /** What a model costs over the cheapest one of its engine; undefined if no engine tells. */
   costFactorOf(model: string): number | undefined {
-    const services = this.options.configuration.current?.services.values() ?? [];
+    const services =
+      this.options.configuration.current?.services.values() ?? [];
     for (const {engine} of services) {
       const cost = engine?.costs.get(model);
       if (engine && cost) return cost / Math.min(...engine.costs.values());
--- a/packages/gateway/src/host/state_synchronizer.ts
+++ b/packages/gateway/src/host/state_synchronizer.ts
@@ -50,7 +50,10 @@
       log,
     });
     this.seedBootstrap = this.createSeedBootstrap();
-    this.readGate = new ReadGate({clock, isOpen: () => this.peerSynchronizer.readsStore});
+    this.readGate = new ReadGate({
+      clock,
+      isOpen: () => this.peerSynchronizer.readsStore,
+    });
     const {peerClient: client, syncProtocol: desk} = this;
     const {hostDirectory: roster} = state;
     this.limitBroadcaster = new LimitBroadcaster({
@@ -59,7 +62,9 @@
       client,
       protocol: desk,
     });
-    state.declaredLimits.onUrgentChange(change => this.publishLimitChange(change));
+    state.declaredLimits.onUrgentChange(change =>
+      this.publishLimitChange(change),
+    );
     this.peerSynchronizer = this.createPeerSynchronizer();
     this.followers = Object.values(state.mirrors).map(mirror =>
       this.createFollower(mirror),
@@ -104,7 +109,12 @@
   }
 
   private createSyncProtocol(): SyncProtocol {
-    const {declaredLimits: limits, mirrors, hostDirectory: roster, storeHealth} = this.state;
+    const {
+      declaredLimits: limits,
+      mirrors,
+      hostDirectory: roster,
+      storeHealth,
+    } = this.state;
     return new SyncProtocol({
       storeHealth: storeHealth,
       clock: this.options.ageClock,
--- a/packages/gateway/src/observability/event_log.ts
+++ b/packages/gateway/src/observability/event_log.ts
@@ -58,7 +58,10 @@
   }
 
   private admitSampledLine(): boolean {
-    const {clock, maxSampledPerSecond: detailPerSecond = MAX_SAMPLED_PER_SECOND} = this.options;
+    const {
+      clock,
+      maxSampledPerSecond: detailPerSecond = MAX_SAMPLED_PER_SECOND,
+    } = this.options;
     const second = Math.floor(clock.now() / SECOND_MS);
     if (second !== this.currentSecond) this.startSecond(second);
     this.sampledThisSecond += 1;
--- a/packages/gateway/src/observability/register_gauges.ts
+++ b/packages/gateway/src/observability/register_gauges.ts
@@ -38,7 +38,12 @@
   registerRolloutGauges(options);
 }
 
-function registerProcessGauges({metrics, log, eventLoopLag: lag, callServer: door}: Options): void {
+function registerProcessGauges({
+  metrics,
+  log,
+  eventLoopLag: lag,
+  callServer: door,
+}: Options): void {
   metrics.registerGauge(
     'open_requests',
     'Requests not answered yet',
@@ -60,7 +65,13 @@
 }
 
 function registerDiscoveryGauges(options: Options): void {
-  const {metrics, configuration: belief, cordons, hostDirectory: roster, peerSynchronizer: news} = options;
+  const {
+    metrics,
+    configuration: belief,
+    cordons,
+    hostDirectory: roster,
+    peerSynchronizer: news,
+  } = options;
   metrics.registerGauge(
     'configuration_version',
     'Configuration in force',
@@ -81,8 +92,10 @@
     'Hosts known to live',
     () => roster.listLive().length,
   );
-  metrics.registerGauge('reads_store', 'Whether this host reads the store', () =>
-    Number(news.readsStore),
+  metrics.registerGauge(
+    'reads_store',
+    'Whether this host reads the store',
+    () => Number(news.readsStore),
   );
 }
 
--- a/packages/gateway/src/peers/sync_protocol.test.ts
+++ b/packages/gateway/src/peers/sync_protocol.test.ts
@@ -24,13 +24,23 @@
   const log = new EventLog({clock, host: name, sink: {write: () => undefined}});
   const refusals = unheardRefusals();
   const self = host(name, 'a');
-  const hostDirectory = new HostDirectory({clock, log, mirror, refusedEntries: refusals, self});
+  const hostDirectory = new HostDirectory({
+    clock,
+    log,
+    mirror,
+    refusedEntries: refusals,
+    self,
+  });
   const loadDigests = new LoadDigestRegistry({
     clock,
     place: 'a',
     createOwnDigest: () => digest,
   });
-  const limits = {isUrgentFor, applyPeerObservations: () => undefined, listObservations: () => []};
+  const limits = {
+    isUrgentFor,
+    applyPeerObservations: () => undefined,
+    listObservations: () => [],
+  };
   const protocol = new SyncProtocol({
     clock,
     limits: limits as unknown as DeclaredLimitExchange,
--- a/packages/gateway/src/peers/sync_protocol.ts
+++ b/packages/gateway/src/peers/sync_protocol.ts
@@ -141,7 +141,9 @@
 
   private get isLoading(): boolean {
     const {mirrors, storeHealth} = this.options;
-    return !storeHealth.isUnavailable && mirrors.some(mirror => !mirror.isLoaded);
+    return (
+      !storeHealth.isUnavailable && mirrors.some(mirror => !mirror.isLoaded)
+    );
   }
 
   private collectTopics(request: SyncRequest): SyncResponse['topics'] {
--- a/packages/gateway/src/quarantine/quarantine_synchronizer.ts
+++ b/packages/gateway/src/quarantine/quarantine_synchronizer.ts
@@ -42,7 +42,8 @@
     const {mirror, quarantine} = options;
     mirror.onUpdate(update => this.applyUpdate(update));
     quarantine.onChange({
-      onQuarantined: (fingerprint, ends) => this.recordQuarantined(fingerprint, ends),
+      onQuarantined: (fingerprint, ends) =>
+        this.recordQuarantined(fingerprint, ends),
       onReleased: (fingerprint, reason) =>
         this.recordReleased(fingerprint, reason),
     });
@@ -79,7 +80,10 @@
     quarantine.release(quarantineKey.fingerprintOf(key), ReleaseReason.REMOVED);
   }
 
-  private recordQuarantined(fingerprint: string, ends: readonly RunnerCrash[]): void {
+  private recordQuarantined(
+    fingerprint: string,
+    ends: readonly RunnerCrash[],
+  ): void {
     const weight = ends.reduce((sum, end) => sum + end.weight, 0);
     this.options.log.write('request_quarantined', {
       fingerprint,
@@ -100,7 +104,10 @@
    *
    * @param value absent to remove the request from the store
    */
-  private scheduleStaggeredWrite(fingerprint: string, value: string | undefined): void {
+  private scheduleStaggeredWrite(
+    fingerprint: string,
+    value: string | undefined,
+  ): void {
     const {listLiveHosts: hosts, host} = this.options;
     const turn = rankByHash(fingerprint, hosts()).indexOf(host);
     this.scheduleWrite(fingerprint, value, turn * WRITE_STAGGER_MS);
--- a/packages/gateway/src/records/topic_follower.ts
+++ b/packages/gateway/src/records/topic_follower.ts
@@ -96,7 +96,10 @@
       }
     }
     health.recordFailure(failure.message);
-    const pause = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.consecutiveFailures);
+    const pause = Math.min(
+      MAX_BACKOFF_MS,
+      MIN_BACKOFF_MS * 2 ** this.consecutiveFailures,
+    );
     this.consecutiveFailures += 1;
     await sleep(clock, jitter(random, pause));
   }
--- a/packages/gateway/src/records/topic_mirror.ts
+++ b/packages/gateway/src/records/topic_mirror.ts
@@ -118,7 +118,10 @@
   /** Notes that the copy was whole at `asOf`. */
   confirmFreshness(asOf: number): void {
     if (!this.loaded || asOf <= this.confirmedAt) return;
-    if (Number.isFinite(this.confirmedAt) && asOf - this.confirmedAt > OUTAGE_THRESHOLD_MS)
+    if (
+      Number.isFinite(this.confirmedAt) &&
+      asOf - this.confirmedAt > OUTAGE_THRESHOLD_MS
+    )
       this.lastOutageEnd = asOf;
     this.confirmedAt = asOf;
     for (const listener of this.freshnessListeners) listener();
--- a/packages/gateway/src/rollouts/rollout_registry.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -243,7 +243,9 @@
 
   private readState(record: KeyedRecord): RolloutState | undefined {
     const {reader} = this.options;
-    return this.tryRead(Topic.STATUS, record, () => reader.readRolloutState(record));
+    return this.tryRead(Topic.STATUS, record, () =>
+      reader.readRolloutState(record),
+    );
   }
 
   private tryRead<T>(
--- a/packages/gateway/src/testing/plain_reader.ts
+++ b/packages/gateway/src/testing/plain_reader.ts
@@ -44,7 +44,11 @@
     };
   }
 
-  readRolloutOrder({key, value, offset}: KeyedRecord): RolloutOrder | undefined {
+  readRolloutOrder({
+    key,
+    value,
+    offset,
+  }: KeyedRecord): RolloutOrder | undefined {
     if (!key.startsWith(ROLLOUT_PREFIX) || !value) return undefined;
     return {...(JSON.parse(value) as RolloutOrder), offset};
   }
@@ -59,7 +63,11 @@
     return JSON.parse(value) as RunnerEntry;
   }
 
-  readRolloutState({key, value, offset}: KeyedRecord): RolloutState | undefined {
+  readRolloutState({
+    key,
+    value,
+    offset,
+  }: KeyedRecord): RolloutState | undefined {
     if (!key.startsWith(ROLLOUT_PREFIX) || !value) return undefined;
     return {...(JSON.parse(value) as RolloutState), offset};
   }
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/rollout_world_host.ts
@@ -49,7 +49,10 @@
       sink: {write: () => undefined},
     });
     const reader = new PlainReader();
-    const refusals = new RefusedEntryReporter({log, metrics: new GatewayMetrics()});
+    const refusals = new RefusedEntryReporter({
+      log,
+      metrics: new GatewayMetrics(),
+    });
     const orders = new TopicMirror(Topic.OPERATOR);
     const states = new TopicMirror(Topic.STATUS);
     const notes = new TopicMirror(Topic.HOSTS);
--- a/packages/standins/src/rating/memory_rating.ts
+++ b/packages/standins/src/rating/memory_rating.ts
@@ -1,4 +1,8 @@
-import type {RatingService, RatingResult, RatingSample} from '@bayspool/decisions';
+import type {
+  RatingService,
+  RatingResult,
+  RatingSample,
+} from '@bayspool/decisions';
 import type {Clock, RandomSource} from '@bayspool/kernel';
 import {LongPolls} from '../polls/long_polls.js';
 import {answerQuality} from './answer_quality.js';
