--- a/packages/gateway/src/http/fetch_response.ts
+++ b/packages/gateway/src/http/fetch_response.ts
@@ -9,15 +9,15 @@
   /** IP:PORT. */
   readonly address: string;
   readonly method: string;
-  /** Path with its query. */
+  /** Path and query string. */
   readonly path: string;
   readonly headers?: OutgoingHttpHeaders;
   readonly body?: string | Buffer;
-  /** Time until the whole answer has to be there, in ms. */
+  /** Time within which the complete response must arrive, in ms. */
   readonly timeoutMs: number;
 }
 
-/** Sends a request to a peer or the store; rejects when the whole answer does not come in time. */
+/** Sends a request to a peer or the store; rejects if the complete response does not arrive in time. */
 export function fetchResponse(options: Options): Promise<HttpResponse> {
   const {clock, agent, address, method, path, body, timeoutMs} = options;
   const [host, port] = address.split(':');
@@ -27,20 +27,23 @@
   return new Promise((resolve, reject) => {
     const outgoing = startRequest({agent, host, port, method, path, headers});
     const timer = clock.after(timeoutMs, () =>
-      outgoing.destroy(new Error(`no answer within ${timeoutMs} ms`)),
+      outgoing.destroy(new Error(`no response within ${timeoutMs} ms`)),
     );
     const fail = (error: Error) => {
       timer.cancel();
       reject(error);
     };
     outgoing.once('error', fail);
-    outgoing.once('response', answer => {
+    outgoing.once('response', response => {
       const chunks: Buffer[] = [];
-      answer.on('data', (chunk: Buffer) => chunks.push(chunk));
-      answer.once('error', fail);
-      answer.once('end', () => {
+      response.on('data', (chunk: Buffer) => chunks.push(chunk));
+      response.once('error', fail);
+      response.once('end', () => {
         timer.cancel();
-        resolve({status: answer.statusCode ?? 0, body: Buffer.concat(chunks)});
+        resolve({
+          status: response.statusCode ?? 0,
+          body: Buffer.concat(chunks),
+        });
       });
     });
     outgoing.end(body);
--- a/packages/gateway/src/http/http_response.ts
+++ b/packages/gateway/src/http/http_response.ts
@@ -1,4 +1,4 @@
-/** An answer that was received whole. */
+/** A completely received HTTP response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
--- a/packages/gateway/src/records/decode_entry.ts
+++ b/packages/gateway/src/records/decode_entry.ts
@@ -3,14 +3,14 @@
 import {InvalidEntryKind} from './invalid_entry_kind.js';
 import type {KeyedRecord} from './keyed_record.js';
 
-/** How much of what is wrong is told, in characters. */
+/** Longest decoding error that a message includes, in characters. */
 const MAX_REASON_LENGTH = 160;
 
-/** The value of a record in the form that a codec describes; throws an EntryProblem on any other. */
+/** Decodes the JSON value of a record; throws an InvalidEntry if the codec does not accept it. */
 export function decodeEntry<T>(codec: Codec<T>, {value}: KeyedRecord): T {
   return codec.decode(parseJson(value)).caseOf({
-    Left: wrong => {
-      const message = `check who wrote this entry: ${wrong.slice(0, MAX_REASON_LENGTH)}`;
+    Left: reason => {
+      const message = `check who wrote this entry: ${reason.slice(0, MAX_REASON_LENGTH)}`;
       throw new InvalidEntry({kind: InvalidEntryKind.SCHEMA_MISMATCH, message});
     },
     Right: entry => entry,
@@ -22,7 +22,7 @@
     return JSON.parse(value);
   } catch (error) {
     const reason = String(error).slice(0, MAX_REASON_LENGTH);
-    const message = `check who wrote this entry, it is no JSON: ${reason}`;
+    const message = `check who wrote this entry, its value is not valid JSON: ${reason}`;
     throw new InvalidEntry({kind: InvalidEntryKind.INVALID_JSON, message});
   }
 }
--- a/packages/gateway/src/records/invalid_entry.ts
+++ b/packages/gateway/src/records/invalid_entry.ts
@@ -2,11 +2,11 @@
 
 interface Options {
   readonly kind: InvalidEntryKind;
-  /** What was wrong, and what to do. */
+  /** What is wrong with the entry, and how to fix it. */
   readonly message: string;
 }
 
-/** An entry of the store that does not say what it should, maybe because another program wrote it. */
+/** A store entry that cannot be decoded, for example because another program wrote it. */
 export class InvalidEntry extends Error {
   readonly kind: InvalidEntryKind;
 
--- a/packages/gateway/src/records/invalid_entry_kind.ts
+++ b/packages/gateway/src/records/invalid_entry_kind.ts
@@ -1,8 +1,8 @@
-/** Why an entry of the store is not used. */
+/** Why a store entry cannot be decoded. */
 const InvalidEntryKind = {
-  /** Its bytes are no JSON. */
+  /** The value is not valid JSON. */
   INVALID_JSON: 'unreadable',
-  /** A field is missing, of another type, or out of its range. */
+  /** A field is missing, has the wrong type or is out of range. */
   SCHEMA_MISMATCH: 'misshapen',
 } as const;
 type InvalidEntryKind =
--- a/packages/gateway/src/records/mirror_update.ts
+++ b/packages/gateway/src/records/mirror_update.ts
@@ -1,8 +1,8 @@
 import type {KeyedRecord} from './keyed_record.js';
 
-/** Records that changed in a copy of a topic. */
+/** Records that changed in the mirror of a topic. */
 export interface MirrorUpdate {
   readonly changed: readonly KeyedRecord[];
-  /** Whether the copy was loaded whole: what is missing in it is gone. */
+  /** Whether the whole mirror was reloaded: keys that the reload lacks are removed. */
   readonly isReload: boolean;
 }
--- a/packages/gateway/src/records/read_gate.ts
+++ b/packages/gateway/src/records/read_gate.ts
@@ -2,24 +2,25 @@
 
 interface Options {
   readonly clock: Clock;
-  /** What waits here goes on when this holds. */
+  /** Whether waiters may proceed. */
   readonly isOpen: () => boolean;
 }
 
 /**
- * Pause between two looks, in ms: how soon a host begins to read the store once it has to. One look serves all
- * that wait, since each wakes an idle process: 5 a second where each follower looked for itself, 17 in all.
+ * Poll interval, in ms: the delay before a host that becomes a reader starts to read the store. All waiters
+ * share one timer because each poll wakes an idle process: 5 wakeups a second, against 17 in all when each
+ * follower polled by itself.
  */
 const POLL_INTERVAL_MS = 200;
 
-/** Holds back what only a host that reads the store does. */
+/** Blocks work that only a host that reads the store has to do. */
 export class ReadGate {
   private readonly waiters: Array<() => void> = [];
   private timer: Timer | undefined;
 
   constructor(private readonly options: Options) {}
 
-  /** Resolves once the gate is open, or is stopped. */
+  /** Resolves once the gate is open or stopped. */
   wait(): Promise<void> {
     return new Promise(resolve => {
       this.waiters.push(resolve);
@@ -27,7 +28,7 @@
     });
   }
 
-  /** Lets all go on, so that they can end. */
+  /** Releases all waiters so that they can end. */
   stop(): void {
     this.timer?.cancel();
     this.releaseAll();
--- a/packages/gateway/src/records/record_store.ts
+++ b/packages/gateway/src/records/record_store.ts
@@ -4,27 +4,27 @@
 interface ReadOptions {
   readonly topic: Topic;
   readonly from: number;
-  /** How long the store may wait for a first record, in ms. */
+  /** Long-poll timeout, in ms: how long the store may wait for a first record. */
   readonly waitMs: number;
 }
 
 interface AppendOptions {
   readonly topic: Topic;
   readonly key: string;
-  /** Absent to remove the key. */
+  /** Absent removes the key. */
   readonly value?: string;
-  /** The append is done only while the topic ends here. */
+  /** The append succeeds only if the topic ends at this offset. */
   readonly expectedEnd?: number;
 }
 
-/** The platform's store, as far as hosts use it. Failures are {@link StoreFailure}s. */
+/** The operations of the platform's record store that hosts use. Failures are {@link StoreFailure}s. */
 export interface RecordStore {
-  /** The newest record of each key. The pages are no snapshot; `next` is where to read on. */
+  /** Reads the newest record of each key. The pages are not a snapshot; `next` is where to continue. */
   readNewest(topic: Topic): Promise<TopicPage>;
-  /** Records in order; fails with kind `trimmed` when they are no longer kept. */
+  /** Reads records in order; fails with kind `trimmed` if they are no longer retained. */
   readFrom(options: ReadOptions): Promise<TopicPage>;
-  /** Adds a record; fails with kind `conflict` when the topic does not end as expected. */
+  /** Appends a record; fails with kind `conflict` if the topic does not end as expected. */
   append(options: AppendOptions): Promise<void>;
-  /** Closes kept connections, so that the next call opens a new one. */
+  /** Closes keep-alive connections so that the next call opens a new one. */
   disconnect(): void;
 }
--- a/packages/gateway/src/records/refused_entry_reporter.ts
+++ b/packages/gateway/src/records/refused_entry_reporter.ts
@@ -9,16 +9,16 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** Records of which it is remembered that they were told: over the keys of a large fleet's topics. */
+/** Keys whose reports are remembered: more than the topics of a large fleet have. */
 const MAX_REPORTED_KEYS = 2_000;
 
-/** Tells of entries that could not be used: each once, as the same record is read again and again. */
+/** Reports each refused store entry once, although the same record is read repeatedly. */
 export class RefusedEntryReporter {
   private readonly reportedOffsets = new Map<string, number>();
 
   constructor(private readonly options: Options) {}
 
-  /** Notes that a record was not used; a later one under its key is told again. */
+  /** Logs and counts a refused record; a later record with the same key is reported again. */
   report(topic: Topic, {key, offset}: KeyedRecord, error: unknown): void {
     const id = `${topic}|${key}`;
     if ((this.reportedOffsets.get(id) ?? -1) >= offset) return;
--- a/packages/gateway/src/records/store_failure.ts
+++ b/packages/gateway/src/records/store_failure.ts
@@ -1,6 +1,6 @@
 import type {StoreFailureKind} from './store_failure_kind.js';
 
-/** A failed call to the store; the message names what to look at. */
+/** A failed call to the store; the message says what to check. */
 export class StoreFailure extends Error {
   constructor(
     readonly kind: StoreFailureKind,
--- a/packages/gateway/src/records/store_failure_kind.ts
+++ b/packages/gateway/src/records/store_failure_kind.ts
@@ -1,14 +1,14 @@
 /** Ways in which a call to the store fails. */
 const StoreFailureKind = {
-  /** No answer in time, or the connection broke; a write may have been done or be done later. */
+  /** Timeout or broken connection; a write may have been applied or may be applied later. */
   UNREACHABLE: 'unreachable',
-  /** The store said that it did nothing: overloaded, limited or down. */
+  /** The store rejected the call without executing it: overloaded, rate-limited or down. */
   REFUSED: 'refused',
-  /** The records asked for are no longer kept. */
+  /** The requested records are no longer retained. */
   TRIMMED: 'trimmed',
-  /** The condition of a write does not hold. */
+  /** The precondition of a write does not hold. */
   CONFLICT: 'conflict',
-  /** The answer could not be understood. */
+  /** The response could not be decoded. */
   UNREADABLE: 'unreadable',
 } as const;
 type StoreFailureKind =
--- a/packages/gateway/src/records/store_health.ts
+++ b/packages/gateway/src/records/store_health.ts
@@ -6,7 +6,7 @@
   readonly log: EventLog;
 }
 
-/** Tells the log when this host loses the store and when it reaches it again. */
+/** Tracks whether this host can reach the store, and logs each change. */
 export class StoreHealth {
   private unavailable = false;
   private unavailableSince = 0;
@@ -18,7 +18,7 @@
     return this.unavailable;
   }
 
-  /** Notes that the store answered. */
+  /** Records a successful call to the store. */
   recordSuccess(): void {
     if (!this.unavailable) return;
     const {clock, log} = this.options;
@@ -27,7 +27,7 @@
     log.write('store_regained', {afterMs});
   }
 
-  /** Notes that the store could not be reached. */
+  /** Records a failed call to the store. */
   recordFailure(reason: string): void {
     if (this.unavailable) return;
     const {clock, log} = this.options;
--- a/packages/gateway/src/records/topic.ts
+++ b/packages/gateway/src/records/topic.ts
@@ -1,12 +1,12 @@
-/** The record logs that hosts follow; the platform's own names are known to its adapter only. */
+/** The topics that hosts follow; only the platform's adapter knows their names in the store. */
 const Topic = {
-  /** What operators ask: the configuration and roll-outs. */
+  /** Operators' orders: the configuration, rollouts and cordons. */
   OPERATOR: 'operator',
-  /** What runners tell of themselves. */
+  /** Entries that runners write about themselves. */
   RUNNERS: 'runners',
-  /** What hosts tell operators. */
+  /** Status that hosts report to operators. */
   STATUS: 'status',
-  /** What hosts tell each other: addresses, and when roll-outs began. */
+  /** Records that hosts share: addresses, rollout start times and quarantined requests. */
   HOSTS: 'hosts',
 } as const;
 type Topic = (typeof Topic)[keyof typeof Topic];
--- a/packages/gateway/src/records/topic_delta.ts
+++ b/packages/gateway/src/records/topic_delta.ts
@@ -1,9 +1,9 @@
 import type {KeyedRecord} from './keyed_record.js';
 
-/** What one host's copy of a topic has that another's lacks. */
+/** The records of a topic that one host's mirror has and another's lacks. */
 export interface TopicDelta {
-  /** Removals included, unless it is a replacement. */
+  /** Includes tombstones unless this is a full replacement. */
   readonly records: readonly KeyedRecord[];
-  /** Whether these are all records, so that what is not among them is gone. */
+  /** Whether these are all live records, so that every other key is removed. */
   readonly isReplacement: boolean;
 }
--- a/packages/gateway/src/records/topic_follower.ts
+++ b/packages/gateway/src/records/topic_follower.ts
@@ -14,29 +14,29 @@
   readonly health: StoreHealth;
   readonly mirror: TopicMirror;
   readonly log: EventLog;
-  /** How long the next call may wait for a record, in ms. */
+  /** Long-poll timeout of the next call, in ms. */
   readonly longPollMs: () => number;
-  /** Whether this host reads the topic now. */
+  /** Whether this host currently reads the topic from the store. */
   readonly shouldRead: () => boolean;
-  /** Resolves when that may have changed. */
+  /** Resolves when the result of `shouldRead` may have changed. */
   readonly waitUntilReader: () => Promise<void>;
 }
 
-/** Pause after a failed call, in ms; doubled with each one in a row. */
+/** Backoff after the first failed call, in ms; doubles with each consecutive failure. */
 const MIN_BACKOFF_MS = 120;
-/** Longest such pause, in ms. */
+/** Upper bound of the backoff, in ms. */
 const MAX_BACKOFF_MS = 1_000;
-/** Least pause between two calls of a topic, so that a busy topic is read in batches, in ms. */
+/** Pause between two reads, in ms, so that a busy topic is read in batches. */
 const READ_PAUSE_MS = 60;
 
-/** Keeps the copy of one topic up to date from the store while it is wanted. */
+/** Keeps the mirror of one topic up to date from the store while this host has to read it. */
 export class TopicFollower {
   private isStopped = false;
   private consecutiveFailures = 0;
 
   constructor(private readonly options: Options) {}
 
-  /** Reads the topic from now on. */
+  /** Starts to read the topic. */
   start(): void {
     void this.run();
   }
@@ -47,10 +47,10 @@
   }
 
   private async run(): Promise<void> {
-    const {shouldRead: isWanted, waitUntilReader: waitWanted} = this.options;
+    const {shouldRead, waitUntilReader} = this.options;
     while (!this.isStopped) {
-      if (isWanted()) await this.readOnce();
-      else await waitWanted();
+      if (shouldRead()) await this.readOnce();
+      else await waitUntilReader();
     }
   }
 
@@ -67,11 +67,11 @@
   }
 
   private async readNextPage(): Promise<void> {
-    const {clock, store, mirror, longPollMs: waitMs} = this.options;
+    const {clock, store, mirror, longPollMs} = this.options;
     if (!mirror.isLoaded) return this.reload();
     const {topic, next: from} = mirror;
     const asOf = clock.now();
-    const page = await store.readFrom({topic, from, waitMs: waitMs()});
+    const page = await store.readFrom({topic, from, waitMs: longPollMs()});
     mirror.extend(page, asOf);
   }
 
--- a/packages/gateway/src/records/topic_mirror.test.ts
+++ b/packages/gateway/src/records/topic_mirror.test.ts
@@ -5,7 +5,7 @@
 
 const REMOVED_KEYS = 2_000;
 
-/** A copy in which one key stays and many came and went. */
+/** A mirror in which one key is live and many were added and removed. */
 function createMirrorWithRemovals(): TopicMirror {
   const mirror = new TopicMirror(Topic.RUNNERS);
   const stays = {key: 'stays', value: 'v', offset: 0};
@@ -22,7 +22,7 @@
   return mirror;
 }
 
-void test('removals do not pile up in a copy', () => {
+void test('the number of tombstones in a mirror is bounded', () => {
   const mirror = createMirrorWithRemovals();
   assert.ok(mirror.size < 600, `${mirror.size} records`);
   assert.deepEqual(
@@ -31,33 +31,33 @@
   );
 });
 
-void test('a copy that is behind what was forgotten is replaced as a whole', () => {
-  const worn = createMirrorWithRemovals();
+void test('a mirror that lags behind evicted tombstones is replaced as a whole', () => {
+  const mirror = createMirrorWithRemovals();
   const behind = new TopicMirror(Topic.RUNNERS);
   const records = [
     {key: 'stays', value: 'v', offset: 0},
     {key: 'gone-0', value: 'v', offset: 1},
   ];
   behind.load({records, next: 2, isWhole: true}, 0);
-  const news = worn.changesSince(behind.next);
-  assert.equal(news.isReplacement, true);
-  behind.load({records: news.records, next: worn.next, isWhole: true}, 1);
+  const delta = mirror.changesSince(behind.next);
+  assert.equal(delta.isReplacement, true);
+  behind.load({records: delta.records, next: mirror.next, isWhole: true}, 1);
   assert.deepEqual(
     behind.listLive().map(({key}) => key),
     ['stays'],
   );
 });
 
-void test('a copy that is close behind gets what changed', () => {
-  const worn = createMirrorWithRemovals();
-  const news = worn.changesSince(worn.next - 2);
-  assert.equal(news.isReplacement, false);
-  assert.equal(news.records.length, 1);
+void test('a mirror that lags only a little receives the changes', () => {
+  const mirror = createMirrorWithRemovals();
+  const delta = mirror.changesSince(mirror.next - 2);
+  assert.equal(delta.isReplacement, false);
+  assert.equal(delta.records.length, 1);
 });
 
-void test('a removed key does not come back with an old record', () => {
-  const worn = createMirrorWithRemovals();
+void test('an old record does not restore a removed key', () => {
+  const mirror = createMirrorWithRemovals();
   const old = {key: 'gone-0', value: 'v', offset: 1};
-  worn.extend({records: [old], next: worn.next, isWhole: true}, 9_000);
-  assert.equal(worn.listLive().length, 1);
+  mirror.extend({records: [old], next: mirror.next, isWhole: true}, 9_000);
+  assert.equal(mirror.listLive().length, 1);
 });
--- a/packages/gateway/src/records/topic_mirror.ts
+++ b/packages/gateway/src/records/topic_mirror.ts
@@ -7,26 +7,27 @@
 type Listener = (update: MirrorUpdate) => void;
 
 /**
- * Time without proof after which the store counts as having been away, in ms: over the time between
- * two proofs in normal running (a waiting read of a second, passed on by a host that answers 40 others), and under the three missed heartbeats after which entries lapse.
+ * Time without a freshness confirmation after which the store counts as unavailable, in ms. It is longer than the
+ * interval between two confirmations in normal operation (a long poll of one second, relayed by a host that answers
+ * 40 others) and shorter than the three missed heartbeats after which entries lapse.
  */
 const OUTAGE_THRESHOLD_MS = 3_000;
 
 /**
- * Removals that a copy remembers, for other hosts' copies: at 1,200 runners that are each replaced a few
- * times a day, hours of them.
+ * Tombstones that a mirror retains for other hosts' mirrors: several hours of removals with 1,200 runners that are
+ * each replaced a few times a day.
  */
 const MAX_TOMBSTONES = 500;
 
-/** A host's copy of the newest record of each key of a topic, and how old that knowledge is. */
+/** A host's copy of the newest record of each key of a topic, with the age of the copy. */
 export class TopicMirror {
   private readonly recordsByKey = new Map<string, KeyedRecord>();
-  /** The removals among them, the oldest first. */
+  /** Removals among the records, oldest first. */
   private readonly tombstones = new Map<string, KeyedRecord>();
   private readonly updateListeners: Listener[] = [];
   private readonly freshnessListeners: Array<() => void> = [];
   private nextPosition = 0;
-  /** Position up to which removals were forgotten. */
+  /** Position below which tombstones may have been evicted. */
   private tombstoneHorizon = 0;
   private loaded = false;
   private confirmedAt = -Infinity;
@@ -39,56 +40,56 @@
     return this.nextPosition;
   }
 
-  /** Whether there is a copy; before the first one nothing is known of the topic. */
+  /** Whether the mirror was loaded; before that nothing is known about the topic. */
   get isLoaded(): boolean {
     return this.loaded;
   }
 
-  /** Time on this host's clock up to which the copy is known to be whole. */
+  /** Time on this host's clock as of which the mirror is known to be complete. */
   get freshAsOf(): number {
     return this.confirmedAt;
   }
 
-  /** When knowledge became current again after the last outage of the store; -Infinity if never. */
+  /** When the mirror became current again after the store's last outage; -Infinity if there was none. */
   get outageEndedAt(): number {
     return this.lastOutageEnd;
   }
 
-  /** Whether the copy has gone without proof for so long that the store counts as away. */
+  /** Whether freshness was last confirmed so long ago that the store counts as unavailable. */
   isStaleAt(now: number): boolean {
     return now - this.confirmedAt > OUTAGE_THRESHOLD_MS;
   }
 
-  /** Tells the listener of each change of the copy. */
+  /** Calls the listener on each change of the mirror. */
   onUpdate(listener: Listener): void {
     this.updateListeners.push(listener);
   }
 
-  /** Told whenever the copy is known to be whole as of a later time. */
+  /** Calls the listener whenever the mirror is confirmed complete as of a later time. */
   onFreshnessConfirmed(listener: () => void): void {
     this.freshnessListeners.push(listener);
   }
 
-  /** The newest record of a key; one without a value is a removal. */
+  /** The newest record of a key; a record without a value is a tombstone. */
   get(key: string): KeyedRecord | undefined {
     return this.recordsByKey.get(key);
   }
 
-  /** The records that are not removed. */
+  /** The records of all keys that are not removed. */
   listLive(): KeyedRecord[] {
     return [...this.recordsByKey.values()].filter(
       record => record.value !== undefined,
     );
   }
 
-  /** Records in memory, remembered removals included. */
+  /** Number of records in memory, including tombstones. */
   get size(): number {
     return this.recordsByKey.size;
   }
 
-  /** What another host's copy lacks that goes up to a position. */
+  /** The records that a mirror which ends at this position lacks. */
   changesSince(position: number): TopicDelta {
-    // Removals that it lacks may be forgotten here: it gets all that there is instead.
+    // Tombstones that the other mirror lacks may have been evicted here, so it gets a full replacement.
     if (position < this.tombstoneHorizon)
       return {records: this.listLive(), isReplacement: true};
     const records = [...this.recordsByKey.values()].filter(
@@ -97,7 +98,7 @@
     return {records, isReplacement: false};
   }
 
-  /** Replaces the copy by newest records; `asOf` is when the first page was asked for. */
+  /** Replaces the mirror by a full read; `asOf` is when the first page was requested. */
   load(page: TopicPage, asOf: number): void {
     const kept = new Set(page.records.map(record => record.key));
     const missing = [...this.recordsByKey.values()]
@@ -109,13 +110,13 @@
     this.confirmFreshness(asOf);
   }
 
-  /** Adds records read behind the position; `asOf` is when the call was sent. */
+  /** Applies records read from the current position; `asOf` is when the call was sent. */
   extend(page: TopicPage, asOf: number): void {
     this.applyRecords(page.records, page.next, false);
     if (page.isWhole) this.confirmFreshness(asOf);
   }
 
-  /** Notes that the copy was whole at `asOf`. */
+  /** Records that the mirror was complete at `asOf`. */
   confirmFreshness(asOf: number): void {
     if (!this.loaded || asOf <= this.confirmedAt) return;
     if (
@@ -157,7 +158,7 @@
 
   private isNewer(record: KeyedRecord): boolean {
     const known = this.recordsByKey.get(record.key);
-    // A key that is not known below the horizon may be one whose removal was forgotten.
+    // An unknown key below the horizon may be one whose tombstone was evicted.
     if (known === undefined) return record.offset >= this.tombstoneHorizon;
     return known.offset < record.offset;
   }
--- a/packages/gateway/src/records/topic_page.ts
+++ b/packages/gateway/src/records/topic_page.ts
@@ -1,6 +1,6 @@
 import type {KeyedRecord} from './keyed_record.js';
 
-/** What one or several calls read of a topic. */
+/** Records of a topic that one or more calls read. */
 export interface TopicPage {
   readonly records: readonly KeyedRecord[];
   /** The next position to read from. */
