--- a/packages/gateway/src/quarantine/merge_quarantine_digests.ts
+++ b/packages/gateway/src/quarantine/merge_quarantine_digests.ts
@@ -1,19 +1,25 @@
 import type {QuarantineDigest, RunnerCrash} from '@bayspool/decisions/calls';
 
-/** Requests in what several hosts tell together, at most: 30 KB with three ends each, of what one host of a place answers another. */
+/**
+ * Most requests in a merged digest: 30 KB with three crashes each, as part of what one host of a place answers
+ * another.
+ */
 const MAX_FINGERPRINTS = 256;
 
-/** What several hosts tell of requests under which runners ended: ends are sets, so it counts each of them once. */
+/**
+ * Merges the quarantine digests of several hosts. The crashes of a request are a set, so each of them counts once,
+ * however many hosts report it.
+ */
 export function mergeQuarantineDigests(
   all: ReadonlyArray<QuarantineDigest | undefined>,
 ): QuarantineDigest | undefined {
-  const told = all.filter(news => news !== undefined);
-  if (told.length === 0) return undefined;
+  const digests = all.filter(digest => digest !== undefined);
+  if (digests.length === 0) return undefined;
   const ends = new Map<string, Map<number, RunnerCrash>>();
-  for (const news of told)
-    for (const [fingerprint, list] of Object.entries(news.ends))
+  for (const digest of digests)
+    for (const [fingerprint, list] of Object.entries(digest.ends))
       mergeCrashes(ends, fingerprint, list);
-  const answered = new Set(told.flatMap(news => news.answered));
+  const answered = new Set(digests.flatMap(digest => digest.answered));
   return {
     ends: Object.fromEntries(
       [...ends].map(([fingerprint, list]) => [fingerprint, [...list.values()]]),
@@ -28,10 +34,10 @@
   list: readonly RunnerCrash[],
 ): void {
   if (!ends.has(fingerprint) && ends.size >= MAX_FINGERPRINTS) return;
-  const known = ends.get(fingerprint) ?? new Map<number, RunnerCrash>();
-  ends.set(fingerprint, known);
+  const crashes = ends.get(fingerprint) ?? new Map<number, RunnerCrash>();
+  ends.set(fingerprint, crashes);
   for (const end of list) {
-    const weight = known.get(end.start)?.weight ?? -Infinity;
-    if (end.weight > weight) known.set(end.start, end);
+    const weight = crashes.get(end.start)?.weight ?? -Infinity;
+    if (end.weight > weight) crashes.set(end.start, end);
   }
 }
--- a/packages/gateway/src/quarantine/quarantine_key.ts
+++ b/packages/gateway/src/quarantine/quarantine_key.ts
@@ -1,7 +1,7 @@
-/** Start of the keys under which requests that are held back stand in the hosts' topic. */
+/** Prefix of the keys of quarantined requests in the hosts' topic. */
 const KEY_PREFIX = 'quarantine/';
 
-/** Keys of requests that are held back in the hosts' topic. */
+/** Maps fingerprints of quarantined requests to their keys in the hosts' topic. */
 export const quarantineKey = {
   forFingerprint: (fingerprint: string) => KEY_PREFIX + fingerprint,
   matches: (key: string) => key.startsWith(KEY_PREFIX),
--- a/packages/gateway/src/quarantine/quarantine_record_codec.ts
+++ b/packages/gateway/src/quarantine/quarantine_record_codec.ts
@@ -2,14 +2,14 @@
 import {array, Codec} from 'purify-ts/Codec';
 import {fieldCodecs} from '../records/field_codecs.js';
 
-/** A request that is held back, as it stands in the store: what speaks against it, so that each host judges itself. */
+/** Stored form of a quarantined request: the crashes that it may have caused, from which each host decides by itself. */
 interface QuarantineRecord {
   readonly ends: RunnerCrash[];
 }
 
-const {nonNegative: amount, fraction: share} = fieldCodecs;
+const {nonNegative, fraction} = fieldCodecs;
 
-/** How a request that is held back stands in the store. */
+/** Codec of a quarantined request's record in the store. */
 export const quarantineRecordCodec: Codec<QuarantineRecord> = Codec.interface({
-  ends: array(Codec.interface({start: amount, weight: share})),
+  ends: array(Codec.interface({start: nonNegative, weight: fraction})),
 });
--- a/packages/gateway/src/quarantine/quarantine_synchronizer.ts
+++ b/packages/gateway/src/quarantine/quarantine_synchronizer.ts
@@ -16,23 +16,24 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly store: RecordStore;
-  /** The copy of the topic in which such requests stand. */
+  /** The mirror of the topic that holds quarantined requests. */
   readonly mirror: TopicMirror;
   readonly refusedEntries: RefusedEntryReporter;
   readonly quarantine: Quarantine;
   readonly host: string;
-  /** Hosts that are taken to live, this one included. */
+  /** Names of the hosts that are considered live, including this one. */
   readonly listLiveHosts: () => readonly string[];
 }
 
-/** How long each next host waits for the one before it to write, in ms: a write, and the way back of its record. */
+/** Delay between the write turns of two hosts, in ms: one write plus the time until its record is read back. */
 const WRITE_STAGGER_MS = 900;
 /** Pause after a failed write, in ms. */
 const RETRY_DELAY_MS = 1_000;
 
 /**
- * Keeps in the store which requests are held back, so that a host which starts knows of them when all that saw the ends
- * are gone. The hosts judge by what they tell each other; one of them writes, the others stand by.
+ * Persists quarantined requests in the store, so that a newly started host knows them even after all hosts that
+ * observed the crashes are gone. Hosts decide by the digests that they exchange; one host writes the record, the
+ * others write it only if that host does not.
  */
 export class QuarantineSynchronizer {
   private readonly pendingWrites = new Map<string, Timer>();
@@ -49,7 +50,7 @@
     });
   }
 
-  /** Writes no more. */
+  /** Cancels pending writes and starts no new ones. */
   stop(): void {
     this.isStopped = true;
     for (const timer of this.pendingWrites.values()) timer.cancel();
@@ -59,19 +60,19 @@
     for (const record of changed) {
       if (!quarantineKey.matches(record.key)) continue;
       if (record.value !== undefined) this.applyRecord(record);
-      // What a copy that is loaded anew lacks may only have been left out of its pages.
+      // A key that is missing after a reload may merely be missing from its pages.
       else if (!isReload) this.applyRemoval(record);
     }
   }
 
   private applyRecord(record: KeyedRecord): void {
-    const {quarantine, refusedEntries: refusals, mirror} = this.options;
+    const {quarantine, refusedEntries, mirror} = this.options;
     try {
       const {ends} = decodeEntry(quarantineRecordCodec, record);
       quarantine.restoreRecord(quarantineKey.fingerprintOf(record.key), ends);
     } catch (error) {
-      // The request is not held back for it; the hosts that saw the ends do so by themselves.
-      refusals.report(mirror.topic, record, error);
+      // A refused record does not quarantine the request; hosts that observed the crashes quarantine it themselves.
+      refusedEntries.report(mirror.topic, record, error);
     }
   }
 
@@ -100,16 +101,17 @@
   }
 
   /**
-   * All hosts hold a request back, or let it go, at about the same time: the first of them in an order by hash writes.
+   * All hosts quarantine or release a request at about the same time. The first one in the hash order writes; the
+   * others follow in turn and skip the write if the record is there by then.
    *
-   * @param value absent to remove the request from the store
+   * @param value absent removes the request from the store
    */
   private scheduleStaggeredWrite(
     fingerprint: string,
     value: string | undefined,
   ): void {
-    const {listLiveHosts: hosts, host} = this.options;
-    const turn = rankByHash(fingerprint, hosts()).indexOf(host);
+    const {listLiveHosts, host} = this.options;
+    const turn = rankByHash(fingerprint, listLiveHosts()).indexOf(host);
     this.scheduleWrite(fingerprint, value, turn * WRITE_STAGGER_MS);
   }
 
@@ -134,15 +136,15 @@
     const {log, store, mirror} = this.options;
     const key = quarantineKey.forFingerprint(fingerprint);
     const isHeld = value !== undefined;
-    const stands = mirror.get(key)?.value !== undefined;
-    if (stands === isHeld) return;
+    const isStored = mirror.get(key)?.value !== undefined;
+    if (isStored === isHeld) return;
     try {
       await store.append({topic: Topic.HOSTS, key, value});
       log.write('quarantine_written', {fingerprint, isHeld});
     } catch (error) {
       const reason = String(error);
       log.write('quarantine_write_failed', {fingerprint, isHeld, reason});
-      // A later change of the same request has gone before it.
+      // A later change of the same request supersedes this write.
       if (this.pendingWrites.has(fingerprint)) return;
       this.scheduleWrite(fingerprint, value, RETRY_DELAY_MS);
     }
