--- a/packages/gateway/src/lifecycle/close_server.ts
+++ b/packages/gateway/src/lifecycle/close_server.ts
@@ -1,6 +1,6 @@
 import type {Server} from 'node:http';
 
-/** Stops listening and closes all connections at once. */
+/** Stops listening and closes all connections immediately. */
 export function closeServer(server: Server): void {
   server.close();
   server.closeAllConnections();
--- a/packages/gateway/src/lifecycle/graceful_shutdown.test.ts
+++ b/packages/gateway/src/lifecycle/graceful_shutdown.test.ts
@@ -25,34 +25,34 @@
   runner.stop();
 });
 
-void test('a host that leaves is not ready, serves on, and finishes what runs', async () => {
-  const answerWhole = runner.script;
+void test('a host that shuts down is not ready, still serves new calls, and finishes running ones', async () => {
+  const respondCompletely = runner.script;
   runner.script = (request, response) =>
-    setTimeout(() => answerWhole(request, response), 1_500);
+    setTimeout(() => respondCompletely(request, response), 1_500);
   const running = fixture.call();
   await fixture.waitFor(() => runner.received.length === 1);
-  const left = fixture.hosts[0].gateway.shutDown('test');
+  const shutDown = fixture.hosts[0].gateway.shutDown('test');
   assert.equal(await fixture.readiness(), 503);
-  runner.script = answerWhole;
+  runner.script = respondCompletely;
   const late = await fixture.call();
   assert.equal(late.status, 200);
   assert.equal(late.headers.connection, 'close');
   assert.equal((await running).status, 200);
-  await left;
+  await shutDown;
 });
 
-void test('a kept connection ends behind its answer', async () => {
+void test('a keep-alive connection is closed after its response', async () => {
   const agent = new Agent({keepAlive: true, maxSockets: 1});
   await fixture.call({agent});
-  const left = fixture.hosts[0].gateway.shutDown('test');
-  const answer = await fixture.call({agent});
-  assert.equal(answer.status, 200);
-  assert.equal(answer.headers.connection, 'close');
+  const shutDown = fixture.hosts[0].gateway.shutDown('test');
+  const response = await fixture.call({agent});
+  assert.equal(response.status, 200);
+  assert.equal(response.headers.connection, 'close');
   agent.destroy();
-  await left;
+  await shutDown;
 });
 
-void test('a connection whose stream began before the host leaves takes no further call', async () => {
+void test('a connection whose stream began before the shutdown takes no further call', async () => {
   const agent = new Agent({keepAlive: true, maxSockets: 1});
   runner.script = ({id}, response) => {
     response.writeHead(200, {
@@ -69,16 +69,16 @@
   const running = fixture.call({agent});
   await fixture.waitFor(() => runner.received.length === 1);
   await new Promise(resolve => setTimeout(resolve, 100));
-  const left = fixture.hosts[0].gateway.shutDown('test');
-  const answer = await running;
-  assert.notEqual(answer.headers.connection, 'close');
+  const shutDown = fixture.hosts[0].gateway.shutDown('test');
+  const response = await running;
+  assert.notEqual(response.headers.connection, 'close');
   await new Promise(resolve => setTimeout(resolve, 100));
   assert.equal(Object.values(agent.freeSockets).flat().length, 0);
   agent.destroy();
-  await left;
+  await shutDown;
 });
 
-void test('what cannot finish is ended before the process is killed', async () => {
+void test('a call that cannot finish is aborted before the process is killed', async () => {
   runner.script = () => undefined;
   const hanging = fixture.call({headers: {[names.deadline]: '20000'}});
   await fixture.waitFor(() => runner.received.length === 1);
--- a/packages/gateway/src/lifecycle/graceful_shutdown.ts
+++ b/packages/gateway/src/lifecycle/graceful_shutdown.ts
@@ -8,43 +8,47 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly callServer: CallServer;
-  /** Time until the process is killed, in ms. */
+  /** Grace period until the process is killed, in ms. */
   readonly graceMs: () => number;
 }
 
-/** Time in which the balancer still sends new connections: two looks a second apart, and slack, in ms. */
+/** Time for which the load balancer still sends new connections, in ms: two health checks a second apart, plus slack. */
 const BALANCER_REACTION_MS = 2_300;
-/** Time kept back before the end of the grace period, in ms: the way of the last answers. */
+/** Margin before the end of the grace period, in ms, for the last responses to reach their callers. */
 const FINAL_RESPONSE_MARGIN_MS = 700;
-/** Pause between two looks at whether all calls have ended, in ms. */
+/** Interval between two checks whether all calls have ended, in ms. */
 const POLL_INTERVAL_MS = 50;
 
-/** How a host leaves: not ready at once, then no new connections, then what runs is finished. */
+/** Shuts a host down: it reports not ready immediately, then closes idle connections, then finishes running calls. */
 export class GracefulShutdown {
   private isStarted = false;
 
   constructor(private readonly options: Options) {}
 
-  /** Whether this host is about to stop: it is not ready, and connections are closed behind their answers. */
+  /** Whether shutdown has started: the host is not ready, and connections are closed after their responses. */
   get hasStarted(): boolean {
     return this.isStarted;
   }
 
-  /** Resolves when nothing is open any more, or the grace period is nearly over. */
+  /** Resolves when no call is open any more, or shortly before the grace period ends. */
   async run(reason: string): Promise<void> {
-    const {clock, log, callServer: door} = this.options;
+    const {clock, log, callServer} = this.options;
     const graceMs = this.options.graceMs();
     const startedAt = clock.now();
     this.isStarted = true;
-    log.write('process_stopping', {reason, open: door.openCalls, graceMs});
+    log.write('process_stopping', {
+      reason,
+      open: callServer.openCalls,
+      graceMs,
+    });
     const until = startedAt + graceMs - FINAL_RESPONSE_MARGIN_MS;
     await sleep(clock, Math.min(BALANCER_REACTION_MS, graceMs / 2));
-    door.closeIdle();
-    while (door.openCalls > 0 && clock.now() < until) {
+    callServer.closeIdle();
+    while (callServer.openCalls > 0 && clock.now() < until) {
       await sleep(clock, POLL_INTERVAL_MS);
-      door.closeIdle();
+      callServer.closeIdle();
     }
-    const cut = door.abortAll(AbortReason.HOST_SHUTDOWN);
+    const cut = callServer.abortAll(AbortReason.HOST_SHUTDOWN);
     await sleep(clock, POLL_INTERVAL_MS);
     const forMs = Math.round(clock.now() - startedAt);
     log.write('process_stopped', {reason, cut, forMs});
--- a/packages/gateway/src/lifecycle/isolated_place.test.ts
+++ b/packages/gateway/src/lifecycle/isolated_place.test.ts
@@ -10,14 +10,14 @@
 
 let fixture: GatewayFixture;
 let runner: ScriptedRunner;
-let ownStore: MemoryRecordStore;
+let separateStore: MemoryRecordStore;
 
 beforeEach(async () => {
   fixture = new GatewayFixture();
   runner = new ScriptedRunner({id: 'one'});
   fixture.configure(keyedRoute.routes, keyedRoute.keys);
   await fixture.addRunner(runner);
-  ownStore = fixture.store.share();
+  separateStore = fixture.store.share();
 });
 
 afterEach(async () => {
@@ -25,49 +25,55 @@
   runner.stop();
 });
 
-/** A host in each place; the first one has a store of its own, with which it can be cut off. */
+/** Starts a host in each place; the first one has its own connection to the store, which can be cut. */
 async function startHostPerPlace(extra: {honoursStaleKeys?: boolean} = {}) {
   for (const [index, place] of PLACES.entries())
     await fixture.startHost(
       {place, ...extra},
-      index === 0 ? ownStore : fixture.store,
+      index === 0 ? separateStore : fixture.store,
     );
   for (const index of PLACES.keys()) await fixture.waitReady(index);
   await fixture.waitFor(() => fixture.events('peer_seen').length >= 6);
   await new Promise(resolve => setTimeout(resolve, 1_500));
 }
 
-/** Lets the first host reach nothing outside of its place. */
+/** Isolates the first host: it reaches neither the store nor the other places. Returns the time. */
 function isolateFirstHost(): number {
-  ownStore.isDown = true;
+  separateStore.isDown = true;
   for (const {gateway} of fixture.hosts.slice(1)) gateway.stopImmediately();
   return performance.now();
 }
 
-void test('a place that is cut off sends callers elsewhere two seconds before it refuses them', async () => {
+void test('an isolated place becomes not ready two seconds before it refuses calls', async () => {
   await startHostPerPlace();
-  const cutAt = isolateFirstHost();
+  const isolatedAt = isolateFirstHost();
   await fixture.waitFor(async () => (await fixture.readiness()) === 503);
-  const leftAt = performance.now();
+  const notReadyAt = performance.now();
   assert.equal((await fixture.call({headers})).status, 200);
   await fixture.waitFor(
     async () => (await fixture.call({headers})).status === 503,
   );
   const refusedAt = performance.now();
-  assert.ok(leftAt - cutAt < 2_000, `not ready after ${leftAt - cutAt} ms`);
-  assert.ok(refusedAt - leftAt > 1_800, `${refusedAt - leftAt} ms before`);
+  assert.ok(
+    notReadyAt - isolatedAt < 2_000,
+    `not ready after ${notReadyAt - isolatedAt} ms`,
+  );
+  assert.ok(
+    refusedAt - notReadyAt > 1_800,
+    `${refusedAt - notReadyAt} ms before`,
+  );
 });
 
-void test('a place that is cut off stays ready where keys are honoured', async () => {
+void test('an isolated place stays ready if stale keys are honoured', async () => {
   await startHostPerPlace({honoursStaleKeys: true});
   isolateFirstHost();
   await new Promise(resolve => setTimeout(resolve, 4_000));
   assert.equal(await fixture.readiness(), 200);
 });
 
-void test('hosts stay ready while the store is away and other places answer', async () => {
+void test('hosts stay ready during an outage of the store while other places respond', async () => {
   await startHostPerPlace();
-  ownStore.isDown = true;
+  separateStore.isDown = true;
   fixture.store.isDown = true;
   await new Promise(resolve => setTimeout(resolve, 2_000));
   assert.equal(await fixture.readiness(), 200);
--- a/packages/gateway/src/lifecycle/listen_on.ts
+++ b/packages/gateway/src/lifecycle/listen_on.ts
@@ -1,6 +1,6 @@
 import type {Server} from 'node:http';
 
-/** Makes a server listen; rejects when the address cannot be had. */
+/** Binds a server to an address; rejects if the address is not available. */
 export function listenOn(
   server: Server,
   ip: string,
--- a/packages/gateway/src/lifecycle/metrics_server.ts
+++ b/packages/gateway/src/lifecycle/metrics_server.ts
@@ -11,7 +11,7 @@
   readonly registry: Registry;
 }
 
-/** Serves counters and histograms in Prometheus' text form. */
+/** Serves the metrics in the Prometheus text format. */
 export class MetricsServer {
   private readonly server: Server;
 
@@ -29,13 +29,13 @@
     });
   }
 
-  /** Listens. */
+  /** Starts to listen. */
   start(): Promise<void> {
     const {ip, port} = this.options;
     return listenOn(this.server, ip, port);
   }
 
-  /** Closes all connections at once. */
+  /** Stops listening and closes all connections immediately. */
   stop(): void {
     closeServer(this.server);
   }
--- a/packages/gateway/src/lifecycle/readiness_server.ts
+++ b/packages/gateway/src/lifecycle/readiness_server.ts
@@ -10,7 +10,7 @@
   readonly isReady: () => boolean;
 }
 
-/** Tells the balancer whether this host takes new connections. */
+/** Readiness endpoint that tells the load balancer whether this host accepts new connections. */
 export class ReadinessServer {
   private readonly server: Server;
 
@@ -23,13 +23,13 @@
     });
   }
 
-  /** Listens. */
+  /** Starts to listen. */
   start(): Promise<void> {
     const {ip, port} = this.options;
     return listenOn(this.server, ip, port);
   }
 
-  /** Closes all connections at once. */
+  /** Stops listening and closes all connections immediately. */
   stop(): void {
     closeServer(this.server);
   }
--- a/packages/gateway/src/lifecycle/stall_detector.test.ts
+++ b/packages/gateway/src/lifecycle/stall_detector.test.ts
@@ -4,19 +4,19 @@
 import {EventLog} from '../observability/event_log.js';
 import {StallDetector} from './stall_detector.js';
 
-/** Time in which a process does what it has to do, in ms. */
+/** Time for which a process runs normally, in ms. */
 const NORMAL_WORK_MS = 1_000;
-/** Time for which what waited may go on to be read, in ms. */
+/** Time after a stall for which queued requests may still be read, in ms. */
 const BACKLOG_MS = 2_000;
 
-/** A watch whose process can stand still: time goes on, and no timer fires before it goes on. */
+/** A detector in a process that can stall: time passes, and timers fire only once the process resumes. */
 function createStallableProcess() {
   const clock = new VirtualClock();
-  let standstillMs = 0;
+  let stalledMs = 0;
   let changedAt: number | undefined;
   const lines: string[] = [];
-  const now = () => clock.now() + standstillMs;
-  const watch = new StallDetector({
+  const now = () => clock.now() + stalledMs;
+  const detector = new StallDetector({
     clock: {
       now,
       wall: () => clock.wall(),
@@ -32,68 +32,68 @@
   const adopt = () => {
     changedAt = now();
   };
-  watch.start();
+  detector.start();
   adopt();
   clock.advance(NORMAL_WORK_MS);
   return {
-    watch,
+    detector,
     clock,
     lines,
     adopt,
-    standStill: (forMs: number) => {
-      standstillMs += forMs;
+    stall: (forMs: number) => {
+      stalledMs += forMs;
     },
   };
 }
 
-void test('a configuration that comes while all goes on is no reason to doubt', () => {
-  const {watch, clock, adopt, lines} = createStallableProcess();
+void test('without a stall no request predates a new configuration', () => {
+  const {detector, clock, adopt, lines} = createStallableProcess();
   adopt();
-  assert.ok(!watch.mayPredateConfiguration());
+  assert.ok(!detector.mayPredateConfiguration());
   clock.advance(NORMAL_WORK_MS);
-  assert.ok(!watch.mayPredateConfiguration());
+  assert.ok(!detector.mayPredateConfiguration());
   assert.deepEqual(lines, []);
 });
 
-void test('behind a standstill a request may be older than a configuration that was not known before', () => {
-  const {watch, adopt, standStill} = createStallableProcess();
-  standStill(2_000);
+void test('after a stall a request may predate a configuration that arrives then', () => {
+  const {detector, adopt, stall} = createStallableProcess();
+  stall(2_000);
   adopt();
-  assert.ok(watch.mayPredateConfiguration());
+  assert.ok(detector.mayPredateConfiguration());
 });
 
-void test('it is doubted for as long as what waited may go on to be read, and no longer', () => {
-  const {watch, clock, adopt, standStill} = createStallableProcess();
-  standStill(5_000);
+void test('requests may predate the configuration only until the backlog of the stall is read', () => {
+  const {detector, clock, adopt, stall} = createStallableProcess();
+  stall(5_000);
   clock.advance(BACKLOG_MS - NORMAL_WORK_MS);
   adopt();
-  assert.ok(watch.mayPredateConfiguration());
+  assert.ok(detector.mayPredateConfiguration());
   clock.advance(NORMAL_WORK_MS + 100);
-  assert.ok(!watch.mayPredateConfiguration());
+  assert.ok(!detector.mayPredateConfiguration());
 });
 
-void test('a host that is always behind doubts each configuration for a bounded time', () => {
-  const {watch, clock, adopt, standStill} = createStallableProcess();
+void test('on a permanently overloaded host requests may predate a configuration only for a bounded time', () => {
+  const {detector, clock, adopt, stall} = createStallableProcess();
   const fallBehind = (times: number) => {
     for (let i = 0; i < times; i++) {
-      standStill(400);
+      stall(400);
       clock.advance(100);
-      watch.mayPredateConfiguration();
+      detector.mayPredateConfiguration();
     }
   };
   fallBehind(10);
   adopt();
-  assert.ok(watch.mayPredateConfiguration());
+  assert.ok(detector.mayPredateConfiguration());
   fallBehind(6);
-  assert.ok(!watch.mayPredateConfiguration());
+  assert.ok(!detector.mayPredateConfiguration());
 });
 
-void test('a standstill over which the configuration stayed what it was raises no doubt', () => {
-  const {watch, clock, standStill, lines} = createStallableProcess();
-  standStill(9_000);
-  assert.ok(!watch.mayPredateConfiguration());
+void test('no request predates a configuration that did not change over a stall', () => {
+  const {detector, clock, stall, lines} = createStallableProcess();
+  stall(9_000);
+  assert.ok(!detector.mayPredateConfiguration());
   clock.advance(100);
-  assert.ok(!watch.mayPredateConfiguration());
+  assert.ok(!detector.mayPredateConfiguration());
   const events = lines.map(line => (JSON.parse(line) as {event: string}).event);
   assert.deepEqual(events, ['stood_still']);
 });
--- a/packages/gateway/src/lifecycle/stall_detector.ts
+++ b/packages/gateway/src/lifecycle/stall_detector.ts
@@ -2,33 +2,33 @@
 import type {EventLog} from '../observability/event_log.js';
 
 interface Options {
-  /** Counts time in which the machine was suspended too. */
+  /** Also counts time for which the machine was suspended. */
   readonly clock: Clock;
   readonly log: EventLog;
-  /** When the configuration in force replaced another one, on that clock; undefined if it is the first. */
+  /** When the active configuration replaced another one, on that clock; undefined if it is the first. */
   readonly configurationChangedAt: () => number | undefined;
 }
 
-/** A time in which the process did nothing else, on the clock of the watch. */
+/** An interval in which the process did not run, on the detector's clock. */
 interface Stall {
   readonly fromAt: number;
   readonly untilAt: number;
 }
 
-/** Pause between two looks, in ms. */
+/** Interval between two checks, in ms. */
 const CHECK_INTERVAL_MS = 100;
-/** How late a look counts as a standstill, in ms: over what other work of this process takes. */
+/** Delay of a check that counts as a stall, in ms: longer than other work of this process takes. */
 const STALL_THRESHOLD_MS = 200;
-/** Time after a standstill in which what waited is read, in ms: new connections may be tried again for a second. */
+/** Time after a stall within which the backlog is read, in ms: clients may retry new connections for a second. */
 const BACKLOG_DRAIN_MS = 2_000;
 
 /**
- * Notices when this process stood still. What it reads then may have waited all the while, so it may have been sent under a
- * configuration that this host has never heard of.
+ * Detects when this process stalled. A request that it reads afterwards may have waited for the whole stall, so it may
+ * have been sent under a configuration that this host never received.
  */
 export class StallDetector {
   private lastCheckAt: number;
-  /** Those whose backlog may not be read yet. */
+  /** Stalls whose backlog may not be fully read yet. */
   private recentStalls: Stall[] = [];
   private timer: Timer | undefined;
 
@@ -36,21 +36,23 @@
     this.lastCheckAt = options.clock.now();
   }
 
-  /** Whether a request that is read now may have been sent before the configuration in force was. */
+  /** Whether a request that is read now may have been sent before the active configuration was published. */
   mayPredateConfiguration(): boolean {
     this.check();
-    const changedAt = this.options.configurationChangedAt();
-    if (changedAt === undefined) return false;
-    return this.recentStalls.some(({fromAt}) => changedAt >= fromAt);
+    const configurationChangedAt = this.options.configurationChangedAt();
+    if (configurationChangedAt === undefined) return false;
+    return this.recentStalls.some(
+      ({fromAt}) => configurationChangedAt >= fromAt,
+    );
   }
 
-  /** Looks from now on. */
+  /** Starts the checks. */
   start(): void {
     this.lastCheckAt = this.options.clock.now();
     this.scheduleCheck();
   }
 
-  /** Looks no more. */
+  /** Stops the checks. */
   stop(): void {
     this.timer?.cancel();
   }
@@ -68,7 +70,7 @@
     const fromAt = this.lastCheckAt;
     const forMs = now - fromAt - CHECK_INTERVAL_MS;
     this.lastCheckAt = now;
-    // Asked for with each request with a key; mostly there is none.
+    // Runs for each request with a key, and mostly there is no stall.
     if (this.recentStalls.length > 0) this.removeExpired(now);
     if (forMs < STALL_THRESHOLD_MS) return;
     this.recentStalls.push({fromAt, untilAt: now});
