--- a/packages/gateway/src/observability/count_runners.ts
+++ b/packages/gateway/src/observability/count_runners.ts
@@ -1,7 +1,7 @@
 import type {MetricSample} from './metric_sample.js';
 import type {Runner} from '../runners/runner.js';
 
-/** How many runners of each service are in each state: the first that holds counts. */
+/** Counts the runners of each service by state; a runner counts under the first state that applies. */
 export function countRunners(runners: readonly Runner[]): MetricSample[] {
   const counts = new Map<string, {service: string; state: string; n: number}>();
   for (const runner of runners) {
--- a/packages/gateway/src/observability/event_fields.ts
+++ b/packages/gateway/src/observability/event_fields.ts
@@ -1,6 +1,6 @@
 /**
- * The events of the log and their fields. Durations and ages are in ms, `…Tokens` in tokens; ids of
- * requests stand in `request`.
+ * The log's events and their fields. Durations and ages are in ms, `…Tokens` in tokens; `request` is the id of
+ * the request.
  */
 export interface EventFields {
   process_started: {
@@ -21,7 +21,7 @@
     route: string;
     kind: string;
     workspace?: string;
-    /** The same for each repeat of a request, at any host. */
+    /** The same for each repetition of a request, on every host. */
     fingerprint: string;
     session?: string;
     tokens?: number;
@@ -44,16 +44,16 @@
     runner: string;
     service: string;
     version: string;
-    /** What decided on the version, see VersionReason. */
+    /** Why this version was chosen, see VersionReason. */
     versionReason?: string;
-    /** False if no runner of the wished version was known, so that any runner was taken. */
+    /** False if no runner of the preferred version was known, so that any runner was eligible. */
     versionGranted?: boolean;
-    /** The version that this host remembers of the session; none if it does not know the session. */
+    /** The version that this host remembers for the session; absent if it does not know the session. */
     rememberedVersion?: string;
     model?: string;
     running: number;
     pendingMs: number;
-    /** Time since other hosts told of loads; null if none did. */
+    /** Time since load digests were last received from other hosts; null if none were. */
     loadsAgeMs: number;
     waitMs?: number;
     workMs?: number;
@@ -67,18 +67,18 @@
     request: string;
     attempt: number;
     runner: string;
-    /** The bound that holds. */
+    /** The bound that applies. */
     reason: string;
-    /** What the runner says it takes a second from all hosts together, and how long ago it was last heard to say so. */
+    /** The runner's declared limit in requests a second over all hosts, and the age of the last declaration. */
     perSecond?: number;
     ageMs?: number;
-    /** Calls in a window that are this host's part, and how many it sent. */
+    /** This host's share of the calls in a window, and how many it sent. */
     share: number;
     windowMs: number;
     sent: number;
-    /** Time until it may send one; none if it has no part. */
+    /** Time until it may send a call; absent if it has no share. */
     waitMs?: number;
-    /** Runners of the service that were withheld in this choice. */
+    /** Number of runners of the service that were withheld in this choice. */
     withheld: number;
   };
   attempt_ended: {
@@ -88,10 +88,10 @@
     outcome: string;
     reason: string;
     status?: number;
-    /** Whether the runner had begun its answer. */
+    /** Whether the runner had begun its response. */
     begun: boolean;
     confidence?: number;
-    /** Requests a second that the runner named in its answer. */
+    /** Declared limit in the runner's response, in requests a second. */
     namedLimit?: number;
     firstMs?: number;
     lastEvent?: number;
@@ -101,10 +101,10 @@
     request: string;
     fingerprint: string;
     runner: string;
-    /** How much this end speaks against the request, 0 to 1, and all of them together. */
+    /** Evidence of this crash against the request, 0 to 1; `sum` is that of all its crashes. */
     weight: number;
     sum: number;
-    /** Whether the runner had no other request, as far as the host knows. */
+    /** Whether the runner had no other request, as far as this host knows. */
     isAlone: boolean;
     sinceHeadMs: number;
   };
@@ -135,11 +135,11 @@
     again: boolean;
     reason: string;
     budgetLeft: number;
-    /** Calls of the service that this host took within the window of its budget. */
+    /** Calls of the service that this host accepted within the window of its retry budget. */
     firstsInWindow: number;
-    /** Repeats that it sent within that window, since it started. */
+    /** Retries that it sent within that window, since it started. */
     repeatsInWindow: number;
-    /** Hosts that it takes to share the allowance. */
+    /** Number of hosts that share the budget, as this host knows it. */
     hosts: number;
     leftMs: number;
   };
@@ -209,12 +209,12 @@
   runner_limit_changed: {
     runner: string;
     service: string;
-    /** Requests a second that it takes from all hosts together; none if it names no limit any more. */
+    /** Requests a second over all hosts; absent if the runner no longer declares a limit. */
     perSecond?: number;
     previous?: number;
-    /** How this host knows: by an answer, or from another host. */
+    /** Where the limit comes from: the runner's response or another host. */
     source: string;
-    /** Time since the answer that said so, in ms. */
+    /** Time since the response that declared it, in ms. */
     ageMs: number;
   };
   runner_limit_malformed: {runner: string; service: string; text: string};
@@ -246,7 +246,7 @@
     oldSlow: number;
     elapsedMs: number;
   };
-  /** What all hosts gave the versions of a roll-out so far and saw of them, as this host knows it. */
+  /** Attempts and outcomes at the versions of a rollout over all hosts so far, as this host knows them. */
   rollout_counted: {
     service: string;
     version: string;
@@ -259,7 +259,7 @@
     newFailed: number;
     newSlow: number;
     oldEnded: number;
-    /** The part of newSent that this host itself sent. */
+    /** The part of `newSent` that this host sent itself. */
     ownNewSent: number;
   };
   rollout_written: {service: string; version: string; phase: string};
@@ -270,13 +270,13 @@
     reason: string;
   };
   rollout_phase: {service: string; version: string; phase: string};
-  /** The machine was suspended for this long, or its time of day was set ahead. */
+  /** The machine was suspended for this long, or its wall clock was set forward. */
   time_gap: {forMs: number};
-  /** This process did nothing for this long, or was that far behind. */
+  /** The process stalled for this long, or its timers were this late. */
   stood_still: {forMs: number};
   store_lost: {reason: string};
   store_regained: {afterMs: number};
-  /** Runners of the place get no new calls from now on; `ageMs` is the age of what the host knows. */
+  /** Runners of the place get no new calls from now on; `ageMs` is the age of the topic's mirror. */
   place_cordoned: {place: string; offset: number; ageMs: number};
   place_uncordoned: {place: string; offset: number; forMs: number};
   topic_reloaded: {topic: string; position: number};
--- a/packages/gateway/src/observability/event_log.ts
+++ b/packages/gateway/src/observability/event_log.ts
@@ -7,11 +7,11 @@
   readonly clock: Clock;
   readonly host: string;
   readonly sink: EventSink;
-  /** Lines of detail a second before they are sampled; failures are always written. */
+  /** Detail lines a second that are written; further ones are dropped. Failures are always written. */
   readonly maxSampledPerSecond?: number;
 }
 
-/** Events that come with each request or answer; the first to be sampled under load. */
+/** Detail events, written for each request or response: under load they are dropped above a rate limit. */
 const SAMPLED_EVENTS: ReadonlySet<EventName> = new Set<EventName>([
   'request_accepted',
   'runner_limit_changed',
@@ -24,13 +24,13 @@
   'caller_left',
 ]);
 /**
- * Lines of detail a second: four a request at 100 requests a second, some eight times the load that
- * one host of the design size has.
+ * Default limit of detail lines a second: four a request at 100 requests a second, which is about eight times the
+ * load of one host in a fleet of the design size.
  */
 const MAX_SAMPLED_PER_SECOND = 400;
 const SECOND_MS = 1_000;
 
-/** Writes one JSON line an event; detail is left out above a rate, and the loss is told. */
+/** Writes one JSON line an event; drops detail lines above a rate limit and logs how many. */
 export class EventLog {
   private currentSecond = 0;
   private sampledThisSecond = 0;
@@ -39,12 +39,12 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Lines that were left out since the start, by sampling or because the reader was too slow. */
+  /** Lines dropped since the start, by the rate limit or because the reader was too slow. */
   get droppedLines(): number {
     return this.totalSampledOut + (this.options.sink.droppedLines ?? 0);
   }
 
-  /** Writes an event with the time and this host. */
+  /** Writes an event with the time and this host's name. */
   write<N extends EventName>(event: N, fields: EventFields[N]): void {
     if (SAMPLED_EVENTS.has(event) && !this.admitSampledLine()) return;
     this.writeLine(event, fields);
--- a/packages/gateway/src/observability/event_loop_lag.ts
+++ b/packages/gateway/src/observability/event_loop_lag.ts
@@ -4,18 +4,18 @@
   readonly clock: Clock;
 }
 
-/** Pause between two measurements, in ms. */
+/** Interval between two measurements, in ms. */
 const MEASURE_INTERVAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** How late timers fire because the loop is busy, or the process stood still. */
+/** Measures how late timers fire because the event loop is busy or the process stalled. */
 export class EventLoopLag {
   private maxLagMs = 0;
   private timer: Timer | undefined;
 
   constructor(private readonly options: Options) {}
 
-  /** Measures from now on. */
+  /** Starts measuring. */
   start(): void {
     const {clock} = this.options;
     const dueAt = clock.now() + MEASURE_INTERVAL_MS;
@@ -30,7 +30,7 @@
     this.timer?.cancel();
   }
 
-  /** The worst lag since it was last asked for, in seconds. */
+  /** Returns the maximum lag since the last call, in seconds, and resets it. */
   takeMaxSeconds(): number {
     const seconds = this.maxLagMs / MS_PER_SECOND;
     this.maxLagMs = 0;
--- a/packages/gateway/src/observability/event_name.ts
+++ b/packages/gateway/src/observability/event_name.ts
@@ -1,4 +1,4 @@
 import type {EventFields} from './event_fields.js';
 
-/** The name of an event of the log. */
+/** Name of a log event. */
 export type EventName = keyof EventFields;
--- a/packages/gateway/src/observability/event_sink.ts
+++ b/packages/gateway/src/observability/event_sink.ts
@@ -1,6 +1,6 @@
-/** Takes finished log lines; never blocks. */
+/** Accepts finished log lines; never blocks. */
 export interface EventSink {
-  /** Lines that it had to drop since the start; absent if it never drops any. */
+  /** Lines dropped since the start; absent if the sink never drops any. */
   readonly droppedLines?: number;
   write(line: string): void;
 }
--- a/packages/gateway/src/observability/events.test.ts
+++ b/packages/gateway/src/observability/events.test.ts
@@ -28,7 +28,7 @@
   second.stop();
 });
 
-/** Waits until each event was written, and fails with those that were not. */
+/** Waits until each event was written; fails with the list of missing ones. */
 async function expectEvents(...events: EventName[]): Promise<void> {
   const missing = () =>
     events.filter(event => fixture.events(event).length === 0);
@@ -45,7 +45,7 @@
   });
 }
 
-void test('every event of the schema is written by some path', () => {
+void test('every event of the schema is written somewhere in the code', () => {
   const schema = readFileSync(
     join(SOURCES, 'observability/event_fields.ts'),
     'utf8',
@@ -55,14 +55,14 @@
   );
   const platform = resolve(SOURCES, '../../../platform/src');
   const code = [...sourceTexts(SOURCES), ...sourceTexts(platform)].join('\n');
-  const silent = events.filter(
+  const unwritten = events.filter(
     event => !new RegExp(`(write|writeLine)\\(\\s*'${event}'`).test(code),
   );
   assert.ok(events.length > 30);
-  assert.deepEqual(silent, []);
+  assert.deepEqual(unwritten, []);
 });
 
-void test('a call that goes well, one that is repeated, one that fails, one that is left', async () => {
+void test('events of calls that succeed, are retried, fail, and are abandoned by the caller', async () => {
   fixture.configure([
     {kind: CallKind.SAFE, attempts: 2, latencyTargetMs: 5_000},
   ]);
@@ -82,7 +82,7 @@
     'attempt_ended',
     'request_answered',
   );
-  const answerWhole = first.script;
+  const respondCompletely = first.script;
   first.script = (request, response) =>
     response.writeHead(500, {[names.requestId]: request.id}).end();
   for (let i = 0; i < 4; i++) await fixture.call();
@@ -90,12 +90,12 @@
   first.script = () => undefined;
   await fixture.call({leaveAfterMs: 50}).catch(() => undefined);
   await expectEvents('caller_left');
-  first.script = answerWhole;
+  first.script = respondCompletely;
   await fixture.call({path: '/nowhere'});
   await expectEvents('request_refused');
 });
 
-void test('changes of what a host believes', async () => {
+void test('events of changes in configuration, runners, store and peers', async () => {
   const route = {kind: CallKind.SAFE, isPublic: false};
   fixture.configure([route], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(first);
@@ -115,7 +115,7 @@
   await expectEvents('store_regained');
 });
 
-void test('a roll-out, a reload and an end', async () => {
+void test('events of a rollout, a settings reload and a shutdown', async () => {
   fixture.configure([{kind: CallKind.SAFE}]);
   await fixture.addRunner(first);
   await fixture.addRunner(second);
@@ -140,7 +140,7 @@
   await expectEvents('process_stopping', 'process_stopped');
 });
 
-void test('the metrics tell requests, runners, budgets, roll-outs and the process', async () => {
+void test('metrics cover requests, runners, retry budgets, rollouts and the process', async () => {
   fixture.configure([{kind: CallKind.SAFE}]);
   await fixture.addRunner(first);
   await fixture.addRunner(second);
@@ -156,8 +156,8 @@
   await expectEvents('runner_leaving');
   await fixture.call();
   const {metricsPort} = fixture.hosts[0].settings;
-  const answer = await fetch(`http://127.0.0.1:${metricsPort}/metrics`);
-  const text = await answer.text();
+  const response = await fetch(`http://127.0.0.1:${metricsPort}/metrics`);
+  const text = await response.text();
   for (const line of [
     /^bayspool_requests_total\{route="r",kind="safe",outcome="answered",reason=""\} 1$/m,
     /^bayspool_runners\{service="svc",state="leaving"\} 1$/m,
--- a/packages/gateway/src/observability/gateway_metrics.ts
+++ b/packages/gateway/src/observability/gateway_metrics.ts
@@ -1,13 +1,13 @@
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import type {MetricSample} from './metric_sample.js';
 
-/** Upper bounds of latencies, in seconds. */
+/** Upper bounds of the latency histograms' buckets, in seconds. */
 const LATENCY_BUCKETS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 4, 8, 16];
 
-/** Counters and histograms of the gateway; label values are a bounded set. */
+/** The gateway's Prometheus metrics; label values come from bounded sets. */
 export class GatewayMetrics {
   readonly registry = new Registry();
-  /** Requests by route, and how they ended. */
+  /** Requests by route and outcome. */
   readonly requests = this.counter('requests_total', 'Requests by outcome', [
     'route',
     'kind',
@@ -77,7 +77,7 @@
     'Time to the end of the answer',
   );
 
-  /** A gauge that is read when the metrics are fetched. */
+  /** Registers a gauge whose value is read on each scrape. */
   registerGauge(name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({
       name: `bayspool_${name}`,
@@ -87,7 +87,7 @@
     });
   }
 
-  /** A gauge of several series that are read when the metrics are fetched; series that end are dropped. */
+  /** Registers a labeled gauge whose series are read on each scrape; series that are gone are removed. */
   registerLabeledGauge(
     name: string,
     help: string,
--- a/packages/gateway/src/observability/line_writer.ts
+++ b/packages/gateway/src/observability/line_writer.ts
@@ -2,28 +2,28 @@
 import type {EventSink} from './event_sink.js';
 
 interface Options {
-  /** The file descriptor written to; standard output when absent. */
+  /** File descriptor to write to; standard output by default. */
   readonly descriptor?: number;
-  /** Bytes that may wait while the reader is slow; further lines are dropped and counted. */
+  /** Bytes that may be queued while the reader is slow; further lines are dropped and counted. */
   readonly maxPendingBytes?: number;
 }
 
-/** File descriptor of the standard output. */
+/** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1;
-/** Some seconds of lines of a busy host, in bytes. */
+/** Default queue size, in bytes: a few seconds of lines of a busy host. */
 const MAX_PENDING_BYTES = 262_144;
-/** A pipe takes writes up to this size whole or not at all (PIPE_BUF of Linux), in bytes. */
+/** Largest write that a pipe takes atomically (PIPE_BUF on Linux), in bytes. */
 const MAX_WRITE_BYTES = 4_096;
-/** Lines are gathered for so long before they are written, in ms: each write wakes a thread. */
+/** Time for which lines are batched before a write, in ms: each write wakes a thread. */
 const BATCH_DELAY_MS = 50;
-/** Longest wait for the reader when the process ends, in ms. */
+/** Longest wait for the reader on exit, in ms. */
 const DRAIN_TIMEOUT_MS = 300;
-/** Pause after the descriptor was not ready, in ms. */
+/** Delay before a retry after the descriptor was not ready, in ms. */
 const RETRY_DELAY_MS = 20;
 
 /**
- * Writes lines to a descriptor without ever blocking the loop: one asynchronous write at a time, a
- * bounded queue behind it. Node's own standard output is synchronous for pipes.
+ * Writes lines to a file descriptor without blocking the event loop: one asynchronous write at a time and a
+ * bounded queue behind it. Node's `process.stdout` is synchronous for pipes.
  */
 export class LineWriter implements EventSink {
   private pending: string[] = [];
@@ -36,12 +36,12 @@
 
   constructor(private readonly options: Options = {}) {}
 
-  /** Lines dropped since the start because the reader was too slow. */
+  /** Lines dropped since the start because the reader was too slow or gone. */
   get droppedLines(): number {
     return this.droppedCount;
   }
 
-  /** Takes a line without its end; it is written a little later, or dropped and counted. */
+  /** Queues a line without its line break for the next batch, or drops and counts it. */
   write(line: string): void {
     const {maxPendingBytes = MAX_PENDING_BYTES} = this.options;
     if (this.pendingBytes + line.length > maxPendingBytes) {
@@ -53,7 +53,7 @@
     if (!this.isWriting) this.scheduleFlush();
   }
 
-  /** Writes what is pending, before the process ends; gives up on a reader that does not read. */
+  /** Writes the pending lines before the process exits; gives up on a reader that does not read. */
   async drain(): Promise<void> {
     const until = performance.now() + DRAIN_TIMEOUT_MS;
     clearTimeout(this.flushTimer);
@@ -62,7 +62,7 @@
       await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
   }
 
-  /** Writes nothing any more. */
+  /** Stops writing. */
   stop(): void {
     this.isStopped = true;
   }
@@ -118,7 +118,7 @@
       }, RETRY_DELAY_MS);
       return;
     }
-    // Nobody reads any more; lines are counted and dropped from here on.
+    // The reader is gone: drops and counts the pending lines.
     this.droppedCount += this.pending.length + 1;
     this.pending = [];
     this.pendingBytes = 0;
--- a/packages/gateway/src/observability/metric_sample.ts
+++ b/packages/gateway/src/observability/metric_sample.ts
@@ -1,4 +1,4 @@
-/** One series of a metric as it stands now. */
+/** Current value of one series of a metric. */
 export interface MetricSample {
   readonly labels: Readonly<Record<string, string>>;
   readonly value: number;
--- a/packages/gateway/src/observability/observability.test.ts
+++ b/packages/gateway/src/observability/observability.test.ts
@@ -9,7 +9,7 @@
 import {EventLog} from './event_log.js';
 import {LineWriter} from './line_writer.js';
 
-void test('detail is bounded and its loss is told, failures are always written', () => {
+void test('detail lines are rate-limited and the drops are logged; failures are always written', () => {
   const clock = new VirtualClock();
   const lines: string[] = [];
   const sink = {write: (line: string) => void lines.push(line)};
@@ -43,7 +43,7 @@
   assert.equal(events.find(({event}) => event === 'lines_dropped')?.count, 40);
 });
 
-void test('a reader that does not read blocks nothing, and drops are counted', async () => {
+void test('a stuck reader does not block the writer, and dropped lines are counted', async () => {
   const path = join(mkdtempSync(join(tmpdir(), 'bayspool-')), 'pipe');
   execFileSync('mkfifo', [path]);
   const descriptor = openSync(path, constants.O_RDWR | constants.O_NONBLOCK);
@@ -58,7 +58,7 @@
   writer.stop();
 });
 
-void test('lines are gathered into few writes, and none is left at the end', async () => {
+void test('lines are batched into few writes, and none is left after drain', async () => {
   const path = join(mkdtempSync(join(tmpdir(), 'bayspool-')), 'log');
   const descriptor = openSync(path, 'w');
   const write = mock.method(fs, 'write');
@@ -76,7 +76,7 @@
   assert.ok(writes <= 5, `${writes} writes`);
 });
 
-void test('no write is longer than what a pipe takes at once, and none cuts a line', async () => {
+void test('no write exceeds the atomic size of a pipe, and none splits a line', async () => {
   const written: string[] = [];
   mock.method(
     fs,
--- a/packages/gateway/src/observability/register_gauges.ts
+++ b/packages/gateway/src/observability/register_gauges.ts
@@ -30,7 +30,7 @@
   readonly quarantine: Quarantine;
 }
 
-/** Registers the figures that are read from a host's parts when the metrics are asked for. */
+/** Registers the gauges that are read from the host's components on each scrape. */
 export function registerGauges(options: Options): void {
   registerProcessGauges(options);
   registerDiscoveryGauges(options);
@@ -41,13 +41,13 @@
 function registerProcessGauges({
   metrics,
   log,
-  eventLoopLag: lag,
-  callServer: door,
+  eventLoopLag,
+  callServer,
 }: Options): void {
   metrics.registerGauge(
     'open_requests',
     'Requests not answered yet',
-    () => door.openCalls,
+    () => callServer.openCalls,
   );
   metrics.registerGauge('resident_bytes', 'Memory of the process', () =>
     process.memoryUsage.rss(),
@@ -55,7 +55,7 @@
   metrics.registerGauge(
     'loop_lag_seconds',
     'Worst lag of a timer since the metrics were last fetched',
-    () => lag.takeMaxSeconds(),
+    () => eventLoopLag.takeMaxSeconds(),
   );
   metrics.registerGauge(
     'log_lines_dropped',
@@ -65,22 +65,17 @@
 }
 
 function registerDiscoveryGauges(options: Options): void {
-  const {
-    metrics,
-    configuration: belief,
-    cordons,
-    hostDirectory: roster,
-    peerSynchronizer: news,
-  } = options;
+  const {metrics, configuration, cordons, hostDirectory, peerSynchronizer} =
+    options;
   metrics.registerGauge(
     'configuration_version',
     'Configuration in force',
-    () => belief.current?.version ?? 0,
+    () => configuration.current?.version ?? 0,
   );
   metrics.registerGauge(
     'configuration_age_seconds',
     'Time since it was known to be the newest',
-    () => belief.ageMs / 1000,
+    () => configuration.ageMs / 1000,
   );
   metrics.registerGauge(
     'cordoned_places',
@@ -90,17 +85,17 @@
   metrics.registerGauge(
     'hosts',
     'Hosts known to live',
-    () => roster.listLive().length,
+    () => hostDirectory.listLive().length,
   );
   metrics.registerGauge(
     'reads_store',
     'Whether this host reads the store',
-    () => Number(news.readsStore),
+    () => Number(peerSynchronizer.readsStore),
   );
 }
 
 function registerRunnerGauges(options: Options): void {
-  const {metrics, directory, serviceLimits: limits, quarantine} = options;
+  const {metrics, directory, serviceLimits, quarantine} = options;
   metrics.registerGauge(
     'quarantined_requests',
     'Requests that are held back, as runners ended under them',
@@ -132,7 +127,7 @@
     'retry_budget',
     'Repeats that this host may still send now',
     ['service'],
-    () => limits.sampleRetryBudgets(),
+    () => serviceLimits.sampleRetryBudgets(),
   );
 }
 
--- a/packages/gateway/src/observability/round_to_hundredths.ts
+++ b/packages/gateway/src/observability/round_to_hundredths.ts
@@ -1,4 +1,4 @@
-/** A figure for the log, to two places behind the point. */
+/** Rounds a number for the log to two decimal places. */
 export function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/gateway/src/observability/sample_rollout_outcomes.ts
+++ b/packages/gateway/src/observability/sample_rollout_outcomes.ts
@@ -1,7 +1,7 @@
 import type {MetricSample} from './metric_sample.js';
 import type {Rollout} from '../rollouts/rollout.js';
 
-/** What all hosts saw of the two versions of a roll-out, as series of a metric. */
+/** Outcomes that all hosts observed at the two versions of a rollout, as series of a metric. */
 export function sampleRolloutOutcomes(rollout: Rollout): MetricSample[] {
   const {service} = rollout.order;
   const {fresh, old} = rollout.tallies;
