--- a/packages/gateway/src/discovery/active_configuration.ts
+++ b/packages/gateway/src/discovery/active_configuration.ts
@@ -15,7 +15,7 @@
 
 type Listener = (configuration: CallConfiguration) => void;
 
-/** The configuration in force at this host. It never goes back to an older version. */
+/** The configuration that is active on this host. It never goes back to an older version. */
 export class ActiveConfiguration {
   private configuration: CallConfiguration | undefined;
   private lastReplacedAt: number | undefined;
@@ -28,27 +28,27 @@
     });
   }
 
-  /** The configuration in force; undefined until one is known. */
+  /** The active configuration; undefined until one is known. */
   get current(): CallConfiguration | undefined {
     return this.configuration;
   }
 
-  /** When the configuration in force took the place of another one; undefined if it is the first of this process. */
+  /** When the active configuration replaced another one; undefined if it is the first of this process. */
   get changedAt(): number | undefined {
     return this.lastReplacedAt;
   }
 
-  /** The routes of the configuration in force. */
+  /** The routes of the active configuration. */
   get routes(): RouteTable {
     return this.routeTable;
   }
 
-  /** How long ago the configuration is known to have been the newest, in ms. */
+  /** Time since the configuration was last confirmed to be the newest, in ms. */
   get ageMs(): number {
     return this.options.clock.now() - this.options.mirror.freshAsOf;
   }
 
-  /** Tells the listener of each configuration that comes into force. */
+  /** Calls the listener with each configuration that becomes active. */
   onChange(listener: Listener): void {
     this.listeners.push(listener);
   }
--- a/packages/gateway/src/discovery/cordon_registry.test.ts
+++ b/packages/gateway/src/discovery/cordon_registry.test.ts
@@ -1,5 +1,5 @@
-// Operators ask that the runners of a place get nothing more; hosts of this program knew no such order, and sent them 5,272
-// requests on a day with two orders, from five seconds after the first one on.
+// Operators cordon a place so that its runners get no new calls. Hosts that did not know cordon orders sent 5,272
+// requests to cordoned runners on a day with two orders, from five seconds after the first order on.
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
 import {CallKind} from '@bayspool/decisions/calls';
@@ -48,7 +48,7 @@
   return (await Promise.all(calls)).map(({status}) => status);
 }
 
-void test('runners of a cordoned place get nothing until the order is taken away; others answer', async () => {
+void test('runners of a cordoned place get no calls until the order is removed; others respond', async () => {
   await fixture.addRunner(far);
   await fixture.startHost();
   await fixture.waitReady();
@@ -65,7 +65,7 @@
   });
 });
 
-void test('a service whose only runners are in a cordoned place is refused at once, as not run', async () => {
+void test('calls to a service with runners only in a cordoned place are rejected immediately as not run', async () => {
   await fixture.startHost();
   await fixture.waitReady();
   cordon('a');
@@ -78,22 +78,22 @@
   assert.equal(line.hasRun, 'no');
 });
 
-void test('a host that starts under the order sends nothing there, nor one that hears of it only from others', async () => {
+void test('hosts that start after the order, or learn of it only from peers, send no calls to the place', async () => {
   await fixture.addRunner(far);
   cordon('a');
   await fixture.startHost();
   await fixture.waitReady();
-  const cutOff = new MemoryRecordStore();
-  cutOff.isDown = true;
+  const unreachableStore = new MemoryRecordStore();
+  unreachableStore.isDown = true;
   const {ip, peerPort} = fixture.hosts[0].settings;
-  await fixture.startHost({seeds: [`${ip}:${peerPort}`]}, cutOff);
+  await fixture.startHost({seeds: [`${ip}:${peerPort}`]}, unreachableStore);
   await fixture.waitReady(1);
   for (const host of [0, 1])
     assert.deepEqual(new Set(await callMany(host)), new Set([200]));
   assert.equal(near.received.length, 0);
 });
 
-void test('a stream that runs in a cordoned place ends well, one that breaks there goes on elsewhere', async () => {
+void test('a stream in a cordoned place completes; one that breaks there resumes elsewhere', async () => {
   fixture.configure([{kind: CallKind.RESUMABLE}]);
   await fixture.startHost();
   await fixture.waitReady();
@@ -138,7 +138,7 @@
   assert.equal(far.received.length, 1);
 });
 
-void test('orders in quick series: the newest of each place holds', async () => {
+void test('the newest of several orders in quick succession applies to each place', async () => {
   await fixture.addRunner(far);
   await fixture.startHost();
   await fixture.waitReady();
--- a/packages/gateway/src/discovery/cordon_registry.ts
+++ b/packages/gateway/src/discovery/cordon_registry.ts
@@ -8,16 +8,16 @@
 interface Options {
   readonly clock: Clock;
   readonly log: EventLog;
-  /** The copy of the operator's topic. */
+  /** The mirror of the operator's topic. */
   readonly mirror: TopicMirror;
   readonly reader: RecordReader;
 }
 
 type Listener = (order: CordonOrder) => void;
 
-/** Places whose runners get no new calls, by order of the operator. Calls that run there end well. */
+/** Places that operators cordoned: their runners get no new calls, while running calls complete. */
 export class CordonRegistry {
-  /** Since when this host knows of each, on its clock. */
+  /** When this host learned of each cordon, on its clock, by place. */
   private readonly cordonedSince = new Map<string, number>();
   private readonly listeners: Listener[] = [];
 
@@ -27,17 +27,17 @@
     });
   }
 
-  /** Whether the runners of a place get no new calls. */
+  /** Whether a place is cordoned. */
   has(place: string): boolean {
     return this.cordonedSince.has(place);
   }
 
-  /** The places, sorted. */
+  /** Lists the cordoned places, sorted. */
   listPlaces(): string[] {
     return [...this.cordonedSince.keys()].sort();
   }
 
-  /** Tells the listener of each order, and of each that was taken away. */
+  /** Calls the listener on each cordon that is added or removed. */
   onChange(listener: Listener): void {
     this.listeners.push(listener);
   }
--- a/packages/gateway/src/discovery/discovery.test.ts
+++ b/packages/gateway/src/discovery/discovery.test.ts
@@ -23,7 +23,7 @@
 const keyed = {kind: CallKind.SAFE, isPublic: false};
 const withKey = {headers: {[names.apiKey]: 'key-1'}};
 
-void test('without a configuration a call is refused as not run', async () => {
+void test('without a configuration a call is rejected with 503 and retry-after', async () => {
   await fixture.startHost();
   const answer = await fixture.call();
   assert.equal(answer.status, 503);
@@ -31,7 +31,7 @@
   assert.equal(await fixture.readiness(), 503);
 });
 
-void test('unknown routes and keys are refused, known ones pass', async () => {
+void test('calls with unknown routes or keys are rejected, others are forwarded', async () => {
   fixture.configure([keyed], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(runner);
   await fixture.startHost();
@@ -42,7 +42,7 @@
   assert.equal(runner.received[0].headers[names.workspace], 'ws');
 });
 
-void test('a new configuration is in force without a restart, an older one never', async () => {
+void test('a new configuration takes effect without a restart, an older one never does', async () => {
   fixture.configure([keyed], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(runner);
   await fixture.startHost();
@@ -58,7 +58,7 @@
   assert.equal((await fixture.call(withKey)).status, 401);
 });
 
-void test('a host that cannot know of withdrawn keys runs nothing for a key', async () => {
+void test('a host that may have missed withdrawn keys forwards no call with a key', async () => {
   fixture.configure([keyed], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(runner);
   await fixture.startHost({keyBoundMs: 1_800});
@@ -78,7 +78,7 @@
   );
 });
 
-void test('where keys may be honoured, callers are served while the store is away', async () => {
+void test('if stale keys are honoured, callers are served during an outage of the store', async () => {
   fixture.configure([keyed], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(runner);
   await fixture.startHost({keyBoundMs: 1_800, honoursStaleKeys: true});
@@ -88,7 +88,7 @@
   await fixture.waitFor(() => fixture.events('freshness_lost').length > 0);
   assert.equal((await fixture.call(withKey)).status, 200);
   assert.equal(await fixture.readiness(), 200);
-  // An unknown key may be a new one once what is known is too old to tell, which is a little later.
+  // Once the configuration is too old to rule out that an unknown key is new, which is a little later, the answer is 503.
   const unknown = {headers: {[names.apiKey]: 'key-2'}};
   await fixture.waitFor(
     async () => (await fixture.call(unknown)).status === 503,
@@ -111,7 +111,7 @@
   other.stop();
 });
 
-void test('a runner whose entry is removed in calm times gets no new calls', async () => {
+void test('a runner whose entry is removed while the store is available gets no new calls', async () => {
   fixture.configure([{kind: CallKind.SAFE}]);
   await fixture.addRunner(runner);
   await fixture.startHost();
@@ -122,7 +122,7 @@
   assert.equal(runner.received.length, 0);
 });
 
-void test('a runner whose entry lapsed in an outage of the store is kept until entries are back', async () => {
+void test('a runner whose entry lapsed during an outage of the store is kept until entries are back', async () => {
   fixture.configure([{kind: CallKind.SAFE}]);
   await fixture.addRunner(runner);
   await fixture.startHost();
@@ -136,7 +136,7 @@
   await fixture.waitFor(() => fixture.events('runner_gone').length === 1);
 });
 
-void test('hosts of a place share what one of them reads', async () => {
+void test('only one host of a place reads the store, and the others receive its updates', async () => {
   fixture.configure([{kind: CallKind.SAFE}]);
   await fixture.addRunner(runner);
   const stores = [new MemoryRecordStore(), new MemoryRecordStore()];
@@ -169,22 +169,22 @@
     );
 });
 
-void test('a host that is cut off from the store lives on what its peer knows', async () => {
+void test('a host that cannot reach the store is kept up to date by its peer', async () => {
   fixture.configure([keyed], {'key-1': {workspace: 'ws'}});
   await fixture.addRunner(runner);
-  const cutStore = new MemoryRecordStore();
-  cutStore.readNewest = topic => fixture.store.readNewest(topic);
-  cutStore.readFrom = options =>
-    cutStore.isDown
-      ? MemoryRecordStore.prototype.readFrom.call(cutStore, options)
+  const unreachableStore = new MemoryRecordStore();
+  unreachableStore.readNewest = topic => fixture.store.readNewest(topic);
+  unreachableStore.readFrom = options =>
+    unreachableStore.isDown
+      ? MemoryRecordStore.prototype.readFrom.call(unreachableStore, options)
       : fixture.store.readFrom(options);
-  cutStore.append = options => fixture.store.append(options);
+  unreachableStore.append = options => fixture.store.append(options);
   await fixture.startHost({keyBoundMs: 4_000});
-  await fixture.startHost({keyBoundMs: 4_000}, cutStore);
+  await fixture.startHost({keyBoundMs: 4_000}, unreachableStore);
   await fixture.waitReady(0);
   await fixture.waitReady(1);
   await fixture.waitFor(() => fixture.events('peer_seen').length === 2);
-  cutStore.isDown = true;
+  unreachableStore.isDown = true;
   await new Promise(resolve => setTimeout(resolve, 5_000));
   assert.equal((await fixture.call({host: 1, ...withKey})).status, 200);
   fixture.configure([keyed], {});
--- a/packages/gateway/src/discovery/host_suspension.test.ts
+++ b/packages/gateway/src/discovery/host_suspension.test.ts
@@ -20,19 +20,19 @@
 
 afterEach(() => fixture.stop());
 
-async function suspendAway(forMs: number): Promise<void> {
+async function suspendDuringOutage(forMs: number): Promise<void> {
   fixture.store.isDown = true;
   fixture.hosts[0].suspend(forMs);
 }
 
-void test('after a short suspension keys are honoured as before', async () => {
-  await suspendAway(500);
+void test('after a short suspension keys are still honoured', async () => {
+  await suspendDuringOutage(500);
   assert.equal((await fixture.call(WITH_KEY)).status, 200);
 });
 
 for (const forMs of [5_000, 30_000])
-  void test(`a host that was suspended for ${forMs} ms honours no key until it has heard again`, async () => {
-    await suspendAway(forMs);
+  void test(`a host that was suspended for ${forMs} ms honours no key until its configuration is current again`, async () => {
+    await suspendDuringOutage(forMs);
     const {status, headers} = await fixture.call(WITH_KEY);
     assert.equal(status, 503, 'the key may have been withdrawn meanwhile');
     assert.ok(headers['retry-after']);
@@ -42,7 +42,7 @@
     assert.equal((await fixture.call(WITH_KEY)).status, 200);
   });
 
-void test('a roll-out is not taken for older: its share would be above the true one', async () => {
+void test('a suspension does not make a rollout appear older, which would overstate its share', async () => {
   fixture.order({durationMs: 20_000});
   await fixture.waitFor(() => fixture.events('rollout_ordered').length > 0);
   fixture.hosts[0].suspend(15_000);
--- a/packages/gateway/src/discovery/record_reader.ts
+++ b/packages/gateway/src/discovery/record_reader.ts
@@ -7,19 +7,19 @@
 } from '@bayspool/decisions/calls';
 import type {KeyedRecord} from '../records/keyed_record.js';
 
-/** Turns the platform's records into the gateway's types; throws with a remedy on what it can't read. */
+/** Decodes the platform's records into the gateway's types; throws an error that names a remedy if it cannot. */
 export interface RecordReader {
-  /** The newest configuration's key in the topic of the operator. */
+  /** Key of the configuration in the operator's topic. */
   readonly configurationKey: string;
   readConfiguration(record: KeyedRecord): CallConfiguration;
-  /** Undefined if the record is no order for a roll-out. */
+  /** Undefined if the record is not a rollout order. */
   readRolloutOrder(record: KeyedRecord): RolloutOrder | undefined;
-  /** Undefined if the record is no order on a place; one that was removed is the end of the order. */
+  /** Undefined if the record is not a cordon order; a removed record ends the order. */
   readCordonOrder(record: KeyedRecord): CordonOrder | undefined;
   readRunner(record: KeyedRecord): RunnerEntry;
-  /** Undefined if the record is not about a roll-out. */
+  /** Undefined if the record is not a rollout state. */
   readRolloutState(record: KeyedRecord): RolloutState | undefined;
-  /** The record that tells operators of a roll-out's phase. */
+  /** Encodes the record that reports a rollout's phase to operators. */
   writeRolloutState(state: Omit<RolloutState, 'offset'>): {
     key: string;
     value: string;
--- a/packages/gateway/src/discovery/runner_directory.ts
+++ b/packages/gateway/src/discovery/runner_directory.ts
@@ -14,85 +14,85 @@
   readonly log: EventLog;
   readonly mirror: TopicMirror;
   readonly reader: RecordReader;
-  /** The copy whose proofs tell when the store was away. */
+  /** The mirror whose freshnessMirror shows when the store was unavailable. */
   readonly freshnessMirror: TopicMirror;
-  /** Told of each runner that is no longer known. */
+  /** Called with the id of each runner that is removed. */
   readonly onRemoved: (id: string) => void;
-  /** Whether operators keep new calls from the runners of a place. */
+  /** Whether operators cordoned a place. */
   readonly isCordoned: (place: string) => boolean;
   readonly refusedEntries: RefusedEntryReporter;
   readonly createRunner: (entry: RunnerEntry) => Runner;
 }
 
 /**
- * How long a runner whose entry vanished around an outage of the store is kept: the platform says
- * that entries of living runners are back about two seconds after the store is.
+ * How long a runner is kept after its entry lapsed around an outage of the store, in ms. The platform documents that
+ * entries of live runners are back about two seconds after the store is.
  */
 const LAPSED_RUNNER_TTL_MS = 1_900;
-/** How long a new version waits for the order that explains it, in ms: the topics are read apart. */
+/** How long a new version is awaitingOrder back until its rollout order arrives, in ms: the two topics are read separately. */
 const ROLLOUT_ORDER_GRACE_MS = 2_500;
-/** An entry that goes within this time after the store's return may have lapsed in the outage. */
+/** An entry that is removed within this time after an outage of the store may have lapsed in it, in ms. */
 const POST_OUTAGE_WINDOW_MS = 1_500;
 
-/** The runners that can take calls, by service, as their entries in the store tell. */
+/** The runners known from their entries in the store, and which of them accept calls. */
 export class RunnerDirectory {
   private readonly runners = new Map<string, Runner>();
-  /** When each version of a service was first seen. */
+  /** When each version was first seen, by service. */
   private readonly firstSeenByVersion = new Map<string, Map<string, number>>();
   private loadedAt: number | undefined;
   private updatedAt = 0;
   private readonly lapseTimers = new Map<string, Timer>();
-  /** Those that take calls, by service, until an entry changes: asked for several times a call. */
+  /** Cache of the runners that accept calls, by service, until an entry changes: it is read several times a call. */
   private readonly acceptingByService = new Map<string, readonly Runner[]>();
-  /** Known runners whose newest entry could not be read. */
+  /** Ids of known runners whose newest entry could not be decoded. */
   private readonly unreadable = new Set<string>();
 
   constructor(private readonly options: Options) {
     options.mirror.onUpdate(update => this.applyUpdate(update));
   }
 
-  /** All runners known, those that leave included. */
+  /** All known runners, including draining ones. */
   all(): Runner[] {
     return [...this.runners.values()];
   }
 
-  /** A runner by its id; undefined if it is not known. */
+  /** The runner with this id; undefined if it is not known. */
   get(id: string): Runner | undefined {
     return this.runners.get(id);
   }
 
-  /** Runners of a service that take new calls, ejected ones included. */
+  /** Lists the runners of a service that accept new calls, including ejected ones. */
   listAcceptingCalls(service: string): readonly Runner[] {
     const known = this.acceptingByService.get(service);
     if (known) return known;
-    const takers: Runner[] = [];
-    this.acceptingByService.set(service, takers);
+    const accepting: Runner[] = [];
+    this.acceptingByService.set(service, accepting);
     for (const runner of this.runners.values()) {
       const {entry, isReplaced} = runner;
       if (entry.service !== service || entry.isDraining || isReplaced) continue;
       if (this.options.isCordoned(entry.place)) continue;
-      if (!this.unreadable.has(entry.id)) takers.push(runner);
+      if (!this.unreadable.has(entry.id)) accepting.push(runner);
     }
-    return takers;
+    return accepting;
   }
 
-  /** What is known of who takes calls has changed. */
+  /** Invalidates the cache of the runners that accept calls. */
   invalidateAccepting(): void {
     this.acceptingByService.clear();
   }
 
   /**
-   * Versions of a service that appeared beside known ones a moment ago: the order to roll them out may
-   * not have arrived yet.
+   * Lists versions of a service that appeared next to known ones a moment ago: their rollout orders may not have
+   * arrived yet.
    */
   listVersionsAwaitingOrder(service: string): Set<string> {
     const seen = this.firstSeenByVersion.get(service);
     const now = this.options.clock.now();
-    const held = new Set<string>();
+    const awaitingOrder = new Set<string>();
     for (const [version, at] of seen ?? [])
       if (at !== this.loadedAt && now - at < ROLLOUT_ORDER_GRACE_MS)
-        held.add(version);
-    return held;
+        awaitingOrder.add(version);
+    return awaitingOrder;
   }
 
   private recordVersion({service, version}: RunnerEntry): void {
@@ -100,7 +100,7 @@
       this.firstSeenByVersion.get(service) ?? new Map<string, number>();
     this.firstSeenByVersion.set(service, seen);
     if (seen.has(version)) return;
-    // A service's first version needs no order.
+    // The first version of a service needs no rollout order.
     const at = seen.size === 0 ? this.loadedAt : this.updatedAt;
     seen.set(version, at ?? this.updatedAt);
   }
@@ -133,21 +133,22 @@
   }
 
   /**
-   * A runner whose entry can't be read gets no new calls until one can: the entry names no runner to use. What is
-   * known of it is kept, as it may be another program that wrote over it, and the runner tells of itself again.
+   * Decodes an entry. A runner whose entry cannot be decoded gets no new calls until it can, because the entry does not
+   * say where the runner is. Its state is kept: another program may have overwritten the entry, and the runner will
+   * write it again.
    */
   private decode(record: KeyedRecord): RunnerEntry | undefined {
-    const {reader, refusedEntries: refusals} = this.options;
+    const {reader, refusedEntries} = this.options;
     try {
       return reader.readRunner(record);
     } catch (error) {
-      refusals.report(Topic.RUNNERS, record, error);
+      refusedEntries.report(Topic.RUNNERS, record, error);
       if (this.runners.has(record.key)) this.unreadable.add(record.key);
       return undefined;
     }
   }
 
-  /** Of two starts under one id the later one counts, in whichever order their entries come. */
+  /** Of two incarnations of a runner the later one counts, in whichever order their entries arrive. */
   private isOutdated({id, bornAt}: RunnerEntry): boolean {
     const knownBornAt = this.runners.get(id)?.entry.bornAt;
     return (bornAt ?? Infinity) < (knownBornAt ?? -Infinity);
@@ -187,12 +188,12 @@
   private applyRemoval(record: KeyedRecord, isReload: boolean): void {
     const runner = this.runners.get(record.key);
     if (!runner) return;
-    const {clock, log, freshnessMirror: freshness} = this.options;
+    const {clock, log, freshnessMirror} = this.options;
     const now = clock.now();
-    const sinceReturn = now - freshness.outageEndedAt;
+    const sinceReturn = now - freshnessMirror.outageEndedAt;
     const mayHaveLapsed =
       isReload ||
-      freshness.isStaleAt(now) ||
+      freshnessMirror.isStaleAt(now) ||
       sinceReturn < POST_OUTAGE_WINDOW_MS;
     if (!mayHaveLapsed || runner.entry.isDraining) {
       this.removeRunner(record.key, 'entry removed');
@@ -210,7 +211,7 @@
     this.lapseTimers.set(id, timer);
   }
 
-  /** Everything that is believed of a runner goes with it: connections, load, outcomes, kept parts. */
+  /** Removes a runner with all its state: connections, load, outcomes and cached prompt parts. */
   private removeRunner(id: string, reason: string): void {
     const runner = this.runners.get(id);
     if (!runner) return;
