--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,17 +22,17 @@
 import {PrefillRates} from './runners/prefill_rates.js';
 import {RunnerChooser} from './runners/runner_chooser.js';
 
-/** Kept back from the bound on withdrawn keys, for the way of a request and slow timers, in ms. */
+/** Margin below the bound on withdrawn keys, in ms, for network latency and late timers. */
 const KEY_BOUND_MARGIN_MS = 400;
 /**
- * How long before it has to refuse keys a host that reaches no other place says that it is not ready, in ms: two
- * looks of a balancer, a second apart, after which it sends callers to places that will serve them.
+ * How long before it has to reject keys an isolated host reports not ready, in ms: two health checks of the load
+ * balancer, a second apart, after which it sends callers to places that can serve them.
  */
 const BALANCER_NOTICE_MS = 2_000;
-/** Pause between two rounds of closing rested connections, in ms. */
+/** Interval of the periodic maintenance, such as closing idle connections, in ms. */
 const MAINTENANCE_INTERVAL_MS = 1_000;
 
-/** Forwards routed calls: everything that one host runs. */
+/** Routes calls to runners; composes everything that runs on one host. */
 export class Gateway {
   readonly metrics = new GatewayMetrics();
   private readonly state: HostState;
@@ -65,13 +65,13 @@
       configurationChangedAt: () => this.state.configuration.changedAt,
     });
     this.stateSynchronizer = new StateSynchronizer(options, this.state);
-    const {hostDirectory: roster} = this.state;
+    const {hostDirectory} = this.state;
     this.hostRegistration = new HostRegistration({
       clock,
       log,
       store,
       mirror: this.state.mirrors[Topic.HOSTS],
-      self: roster.self,
+      self: hostDirectory.self,
     });
     this.rolloutController = this.createRolloutController();
     this.callServer = this.createCallServer();
@@ -103,7 +103,7 @@
     });
   }
 
-  /** Starts to serve; readiness follows when configuration and runners are known. */
+  /** Starts serving; the host becomes ready once the configuration and runners are known. */
   async start(): Promise<void> {
     const {log, settings} = this.options;
     await this.readinessServer.start();
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Takes over changed bounds without a restart. Addresses and names hold until the next start, as
-   * others know them.
+   * Applies changed settings without a restart. Addresses and names change only at the next start, because other
+   * hosts know the current ones.
    */
   applySettings(next: GatewaySettings, reason: string): void {
     const changed = Object.entries(next)
@@ -147,13 +147,13 @@
     });
   }
 
-  /** Stops in good order within the grace period. */
+  /** Shuts down gracefully within the grace period. */
   async shutDown(reason: string): Promise<void> {
     await this.gracefulShutdown.run(reason);
     this.stopImmediately();
   }
 
-  /** Stops at once; open calls are cut. */
+  /** Stops immediately; open calls are aborted. */
   stopImmediately(): void {
     this.hostRegistration.stop();
     this.stateSynchronizer.stopFollowing();
@@ -169,76 +169,71 @@
   }
 
   private isReady(): boolean {
-    const {configuration: belief, directory, rollouts} = this.state;
+    const {configuration, directory, rollouts} = this.state;
     const isReady =
       !this.gracefulShutdown.hasStarted &&
       rollouts.areAgesKnown &&
       !this.willRefuseKeysSoon &&
-      belief.current !== undefined &&
+      configuration.current !== undefined &&
       directory.all().length > 0 &&
-      belief.ageMs < this.maxKeyAgeMs();
+      configuration.ageMs < this.maxKeyAgeMs();
     if (isReady !== this.wasReady) {
       this.wasReady = isReady;
       const reason = this.gracefulShutdown.hasStarted
         ? 'leaving'
-        : `configuration ${belief.current?.version ?? 'unknown'}, age ${Math.round(belief.ageMs)} ms`;
+        : `configuration ${configuration.current?.version ?? 'unknown'}, age ${Math.round(configuration.ageMs)} ms`;
       this.options.log.write('readiness_changed', {isReady, reason});
     }
     return isReady;
   }
 
-  /** Whether this host will refuse keys soon, since its place is cut off from the store and all others. */
+  /** Whether this host will soon reject keys because its place is isolated from the store and all other places. */
   private get willRefuseKeysSoon(): boolean {
     if (this.settings.honoursStaleKeys) return false;
-    const {configuration: belief, hostDirectory: roster} = this.state;
-    const leavesAtMs = this.freshnessBoundMs - BALANCER_NOTICE_MS;
-    return belief.ageMs > leavesAtMs && roster.isIsolated;
+    const {configuration, hostDirectory} = this.state;
+    const notReadyAtMs = this.freshnessBoundMs - BALANCER_NOTICE_MS;
+    return configuration.ageMs > notReadyAtMs && hostDirectory.isIsolated;
   }
 
-  /** Age of the configuration up to which keys are accepted, in ms. */
+  /** Maximum age of the configuration at which keys are accepted, in ms. */
   private maxKeyAgeMs(): number {
     const {honoursStaleKeys} = this.settings;
     return honoursStaleKeys ? Infinity : this.freshnessBoundMs;
   }
 
-  /** Age from which a key may have been withdrawn for longer than the platform allows, in ms. */
+  /** Age of the configuration above which a key may have been withdrawn for longer than the platform allows, in ms. */
   private get freshnessBoundMs(): number {
     return this.settings.keyBoundMs - KEY_BOUND_MARGIN_MS;
   }
 
   private createRolloutController(): RolloutController {
     const {ageClock, log, store, reader, settings} = this.options;
-    const {
-      mirrors,
-      hostDirectory: roster,
-      rollouts,
-      runnerLoads: loads,
-      rolloutStarts: starts,
-    } = this.state;
+    const {mirrors, hostDirectory, rollouts, runnerLoads, rolloutStarts} =
+      this.state;
     return new RolloutController({
       clock: ageClock,
       log,
       store,
       reader,
-      rollouts: rollouts,
+      rollouts,
       states: mirrors[Topic.STATUS],
       host: settings.host,
-      liveHosts: () => roster.listLive().map(({name}) => name),
-      oldRunning: rollout => loads.countOldRunning(rollout),
-      recordStart: rollout => starts.save(rollout),
+      liveHosts: () => hostDirectory.listLive().map(({name}) => name),
+      oldRunning: rollout => runnerLoads.countOldRunning(rollout),
+      recordStart: rollout => rolloutStarts.save(rollout),
     });
   }
 
   private createCallServer(): CallServer {
     const {clock, random, log, headerNames, settings} = this.options;
-    const {configuration: belief} = this.state;
+    const {configuration} = this.state;
     return new CallServer({
       clock,
       random,
       log,
-      headerNames: headerNames,
+      headerNames,
       metrics: this.metrics,
-      configuration: belief,
+      configuration,
       forwarder: this.createCallForwarder(),
       ip: settings.ip,
       port: settings.callerPort,
@@ -254,20 +249,20 @@
     const {clock, random, log, headerNames, settings} = this.options;
     const {
       directory,
-      runnerGate: gate,
-      serviceLimits: limits,
-      runnerLoads: loads,
+      runnerGate,
+      serviceLimits,
+      runnerLoads,
       prefixes,
       quarantine,
     } = this.state;
-    const {rollouts, hostDirectory: roster, sessions} = this.state;
-    const assigned = new RunnerSubset({
+    const {rollouts, hostDirectory, sessions} = this.state;
+    const subset = new RunnerSubset({
       clock,
       host: settings.host,
-      hostsOf: place => roster.listRegisteredIn(place),
+      hostsOf: place => hostDirectory.listRegisteredIn(place),
     });
     const rates = new PrefillRates({
-      costFactorOf: model => limits.costFactorOf(model),
+      costFactorOf: model => serviceLimits.costFactorOf(model),
     });
     return new CallForwarder({
       clock,
@@ -278,9 +273,9 @@
       quarantine,
       rates,
       metrics: this.metrics,
-      headerNames: headerNames,
+      headerNames,
       directory,
-      gate,
+      gate: runnerGate,
       candidates: new CallCandidates({
         directory,
         regionOf: settings.regionOf,
@@ -291,27 +286,28 @@
         rates,
         prefixes,
         place: settings.place,
-        hosts: () => roster.liveCount,
-        isInSubset: runner => assigned.includes(runner),
-        lostPlaces: () => roster.findLostPlaces(),
+        hosts: () => hostDirectory.liveCount,
+        isInSubset: runner => subset.includes(runner),
+        lostPlaces: () => hostDirectory.findLostPlaces(),
       }),
       cascade: new ModelCascade(),
-      retryBudgetOf: service => limits.retryBudgetOf(service),
-      priorityAdmissionOf: service => limits.priorityAdmissionOf(service),
-      loadsAgeMs: () => loads.ageMs,
-      latencyTargetOf: service => limits.latencyTargetOf(service),
+      retryBudgetOf: service => serviceLimits.retryBudgetOf(service),
+      priorityAdmissionOf: service =>
+        serviceLimits.priorityAdmissionOf(service),
+      loadsAgeMs: () => runnerLoads.ageMs,
+      latencyTargetOf: service => serviceLimits.latencyTargetOf(service),
     });
   }
 
   private runMaintenance(): void {
     const {clock, log} = this.options;
-    const {configuration: belief, directory, quarantine} = this.state;
+    const {configuration, directory, quarantine} = this.state;
     this.maintenanceTimer = clock.after(MAINTENANCE_INTERVAL_MS, () =>
       this.runMaintenance(),
     );
     for (const {pool} of directory.all()) pool.closeExpired();
     quarantine.review();
-    const ageMs = Math.round(belief.ageMs);
+    const ageMs = Math.round(configuration.ageMs);
     const boundMs = this.freshnessBoundMs;
     const isFresh = ageMs <= boundMs;
     if (isFresh === this.wasFresh) return;
--- a/packages/gateway/src/host/declared_limit_exchange.test.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.test.ts
@@ -1,4 +1,5 @@
-// Each of many hosts sent a runner in need a request before it knew: together more than the runner takes.
+// Without an exchange of declared limits, each of many hosts sends an overloaded runner a request before it learns of
+// the limit; together these are more requests than the runner accepts.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {EventLog} from '../observability/event_log.js';
@@ -6,7 +7,7 @@
 import {PlainReader} from '../testing/plain_reader.js';
 import {DeclaredLimitExchange} from './declared_limit_exchange.js';
 
-/** A host that knows one runner. */
+/** Creates a host that knows one runner. */
 function createHost(bornAt?: number) {
   const fixture = new DirectoryFixture(new PlainReader());
   const {clock, directory} = fixture;
@@ -33,7 +34,7 @@
   fixture.put(entry.id, JSON.stringify(entry));
 }
 
-void test('what one host heard of a runner holds at another, as of when it was heard', () => {
+void test('a limit declared to one host applies at another, with its age', () => {
   const [one, two] = [createHost(), createHost()];
   one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   one.clock.advance(700);
@@ -43,7 +44,7 @@
   assert.equal(two.limit().ageMs, 1_000);
 });
 
-void test('of what several hosts heard the newest counts, in whichever order it comes', () => {
+void test("the newest of several hosts' observations applies, in whichever order they arrive", () => {
   const host = createHost();
   host.clock.advance(10_000);
   host.limits.applyPeerObservations(
@@ -61,7 +62,7 @@
   assert.equal(host.limit().perSecond, undefined);
 });
 
-void test('a new start of a runner begins without a limit, whatever is told of the one before', () => {
+void test('a new incarnation of a runner starts without a limit, whatever peers observed of the previous one', () => {
   const [one, two] = [createHost(1_000), createHost(1_000)];
   one.limit().updateFromResponse({perSecond: 2}, 0, one.clock.now());
   put(two.fixture, 9_000);
@@ -73,18 +74,18 @@
   assert.deepEqual(one.limits.listObservations(), []);
 });
 
-void test('only a host that would send far too much is told at once', () => {
+void test('only a host that would send far too much is updated immediately', () => {
   const host = createHost();
   host.clock.advance(10_000);
   host.limit().updateFromResponse({perSecond: 2}, 0, host.clock.now());
   host.clock.advance(50);
-  const know = (perSecond: number | undefined, ageMs: number) =>
+  const isUrgent = (perSecond: number | undefined, ageMs: number) =>
     host.limits.isUrgentFor([{runner: 'one', perSecond, ageMs}]);
   assert.equal(host.limits.isUrgentFor([]), true);
-  assert.equal(know(undefined, 900), true);
-  assert.equal(know(9, 900), true);
-  assert.equal(know(2.5, 900), false);
-  assert.equal(know(undefined, 10), false);
+  assert.equal(isUrgent(undefined, 900), true);
+  assert.equal(isUrgent(9, 900), true);
+  assert.equal(isUrgent(2.5, 900), false);
+  assert.equal(isUrgent(undefined, 10), false);
   host.limit().updateFromResponse({}, host.clock.now(), host.clock.now());
-  assert.equal(know(9, 900), false);
+  assert.equal(isUrgent(9, 900), false);
 });
--- a/packages/gateway/src/host/declared_limit_exchange.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.ts
@@ -14,26 +14,26 @@
   readonly directory: RunnerDirectory;
 }
 
-/** Limits that runners name, as hosts tell them to each other: of what several heard of a runner the newest counts. */
+/** Exchanges declared limits with other hosts; the newest observation of each runner's limit applies. */
 export class DeclaredLimitExchange {
   private readonly urgentListeners: Array<(change: LimitChange) => void> = [];
-  /** Runners that ever named a limit, by their ids: few, and asked for with each exchange. */
+  /** Runners that have ever declared a limit, by id: they are few, and each exchange reads them. */
   private readonly declaringRunners = new Map<string, Runner>();
 
   constructor(private readonly options: Options) {}
 
-  /** Calls the listener when a runner is found to be in need, or in much greater need than before. */
+  /** Calls the listener when a runner declares a limit for the first time or a much lower one than before. */
   onUrgentChange(listener: (change: LimitChange) => void): void {
     this.urgentListeners.push(listener);
   }
 
-  /** Notes that what is known of a runner's limit has changed. */
+  /** Records a change of a runner's declared limit. */
   recordChange({id: runner, service}: RunnerEntry, change: LimitChange): void {
-    const {perSecond, previous, malformed: text, isFromPeer: isTold} = change;
+    const {perSecond, previous, malformed: text, isFromPeer} = change;
     const {log} = this.options;
     if (text !== undefined)
       return log.write('runner_limit_malformed', {runner, service, text});
-    const source = isTold ? 'another host' : 'its answer';
+    const source = isFromPeer ? 'another host' : 'its answer';
     const ageMs = Math.round(change.ageMs);
     const line = {runner, service, perSecond, previous, source, ageMs};
     this.track(runner);
@@ -42,51 +42,52 @@
     for (const listener of this.urgentListeners) listener(change);
   }
 
-  /** All that this host knows. */
+  /** Lists the declared limits that this host knows. */
   listObservations(): LimitObservation[] {
-    const news: LimitObservation[] = [];
+    const observations: LimitObservation[] = [];
     for (const {entry, limit} of this.declaringRunners.values()) {
       const {perSecond, ageMs} = limit;
-      news.push({
+      observations.push({
         runner: getIncarnationId(entry),
         perSecond,
         ageMs: Math.ceil(ageMs),
       });
     }
-    return news;
+    return observations;
   }
 
   /**
-   * Takes in what another host knows.
+   * Applies another host's observations.
    *
-   * @param sinceMs time since it told that at most, in ms; 0 if that is not known
+   * @param sinceMs upper bound of the time since that host sent them, in ms; 0 if unknown
    */
   applyPeerObservations(
-    news: readonly LimitObservation[],
+    observations: readonly LimitObservation[],
     sinceMs: number,
   ): void {
-    if (news.length === 0) return;
+    if (observations.length === 0) return;
     const asOf = this.options.clock.now() - sinceMs;
-    const byStart = new Map(news.map(one => [one.runner, one]));
+    const byIncarnation = new Map(observations.map(one => [one.runner, one]));
     for (const {entry, limit} of this.options.directory.all()) {
-      const told = byStart.get(getIncarnationId(entry));
-      if (told) limit.updateFromPeer(told.perSecond, asOf - told.ageMs);
+      const observation = byIncarnation.get(getIncarnationId(entry));
+      if (observation)
+        limit.updateFromPeer(observation.perSecond, asOf - observation.ageMs);
     }
   }
 
-  /** Whether a host that knows this much needs to hear at once what this one knows. */
+  /** Whether a host with these observations has to learn immediately what this host knows. */
   isUrgentFor(known: readonly LimitObservation[]): boolean {
     if (this.declaringRunners.size === 0) return false;
-    const byStart = new Map(known.map(one => [one.runner, one]));
+    const byIncarnation = new Map(known.map(one => [one.runner, one]));
     return [...this.declaringRunners.values()].some(({entry, limit}) => {
       if (limit.perSecond === undefined) return false;
-      const told = byStart.get(getIncarnationId(entry));
-      if (told && told.ageMs <= limit.ageMs) return false;
-      return isUrgentLimit(limit.perSecond, told?.perSecond);
+      const observation = byIncarnation.get(getIncarnationId(entry));
+      if (observation && observation.ageMs <= limit.ageMs) return false;
+      return isUrgentLimit(limit.perSecond, observation?.perSecond);
     });
   }
 
-  /** Forgets a runner that is gone. */
+  /** Removes a runner that is gone. */
   removeRunner(id: string): void {
     this.declaringRunners.delete(id);
   }
--- a/packages/gateway/src/host/gateway_options.ts
+++ b/packages/gateway/src/host/gateway_options.ts
@@ -5,13 +5,13 @@
 import type {EventLog} from '../observability/event_log.js';
 import type {RecordStore} from '../records/record_store.js';
 
-/** What a host is given to run with. */
+/** Dependencies and settings of a gateway. */
 export interface GatewayOptions {
-  /** The settings at the start. */
+  /** The settings at startup. */
   readonly settings: GatewaySettings;
-  /** For durations, and for ages that must never be too old. */
+  /** For durations, and for ages that must never be overestimated. */
   readonly clock: Clock;
-  /** For ages that must never be too young: what is known of the store. */
+  /** For ages that must never be underestimated, such as those of the topics' mirrors. */
   readonly ageClock: Clock;
   readonly random: RandomSource;
   readonly log: EventLog;
--- a/packages/gateway/src/host/host_registration.ts
+++ b/packages/gateway/src/host/host_registration.ts
@@ -10,21 +10,21 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly store: RecordStore;
-  /** The copy of the topic in which hosts are entered. */
+  /** The mirror of the topic in which hosts are registered. */
   readonly mirror: TopicMirror;
   readonly self: HostEntry;
 }
 
-/** Pause after this host could not be entered in the store, in ms. */
+/** Delay before a retry after a failed registration, in ms. */
 const RETRY_DELAY_MS = 400;
 
-/** Makes this host known to the others. */
+/** Registers this host in the store, so that other hosts find it. */
 export class HostRegistration {
   private isStopped = false;
 
   constructor(private readonly options: Options) {}
 
-  /** Enters this host in the store, until it is done; a restart finds the entry of its last start. */
+  /** Retries until this host is registered; after a restart an unchanged entry of the last start is kept. */
   async run(): Promise<void> {
     const {clock, log, store, self} = this.options;
     const startedAt = clock.now();
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Gives up, if it is not done yet. */
+  /** Stops retrying. */
   stop(): void {
     this.isStopped = true;
   }
--- a/packages/gateway/src/host/host_state.ts
+++ b/packages/gateway/src/host/host_state.ts
@@ -33,53 +33,53 @@
 }
 
 /**
- * Age of what is known up to which this host counts as in touch, in ms: over the age at which it reads the store
- * itself, and the time that this takes.
+ * Maximum age of the operator's topic for this host to count as connected, in ms: longer than the age at which the host
+ * starts to read the store itself plus the time that this takes.
  */
 const CONNECTED_MAX_AGE_MS = 3_600;
 
-/** How long a call that was sent is remembered, in ms: over the longest window of a bound. */
+/** How long sentCalls calls are remembered, in ms: longer than the longest window of a bound. */
 const SENT_CALL_TTL_MS = 5_000;
 
-/** What a host knows: copies of the store's topics, and what follows from them. */
+/** A host's state: mirrors of the store's topics, and everything derived from them and from other hosts. */
 export class HostState {
-  /** Copies of the topics. */
+  /** Mirrors of the topics. */
   readonly mirrors: Record<Topic, TopicMirror>;
-  /** Whether the store answers this host. */
+  /** Whether this host can reach the store. */
   readonly storeHealth: StoreHealth;
   readonly metrics: GatewayMetrics;
-  /** Parts of prompts that runners probably keep. */
+  /** Prompt parts that runners probably have in their prefix caches. */
   readonly prefixes: PrefixCacheIndex;
-  /** The hosts. */
+  /** The known hosts. */
   readonly hostDirectory: HostDirectory;
-  /** The configuration in force. */
+  /** The active configuration. */
   readonly configuration: ActiveConfiguration;
-  /** What this host may use of each service. */
+  /** This host's limits for each service. */
   readonly serviceLimits: ServiceLimits;
-  /** Places that operators keep new calls from. */
+  /** Places that operators cordoned. */
   readonly cordons: CordonRegistry;
-  /** What keeps requests from runners. */
+  /** Decides which runners calls are withheld from. */
   readonly runnerGate: RunnerGate;
-  /** The runners. */
+  /** The known runners. */
   readonly directory: RunnerDirectory;
-  /** Which version each session has. */
+  /** The version that each session uses. */
   readonly sessions: SessionVersions;
-  /** When roll-outs started. */
+  /** Start times of rollouts. */
   readonly rolloutStarts: RolloutStartRecords;
-  /** The roll-outs. */
+  /** The rollouts. */
   readonly rollouts: RolloutRegistry;
-  /** Which requests are held back, as runners ended under them. */
+  /** Requests that are quarantined because runners crashed under them. */
   readonly quarantine: Quarantine;
-  /** Keeps that in the store. */
+  /** Persists the quarantine in the store. */
   readonly quarantineSynchronizer: QuarantineSynchronizer;
-  /** Limits that runners name. */
+  /** Limits that runners declare. */
   readonly declaredLimits: DeclaredLimitExchange;
-  /** Loads at the runners. */
+  /** Loads at the runners over all hosts. */
   readonly runnerLoads: RunnerLoadExchange;
   private readonly connectTimeout = new ConnectTimeout();
 
   constructor(private readonly options: Options) {
-    const {settings, currentSettings: liveSettings, clock, ageClock} = options;
+    const {settings, currentSettings, clock, ageClock} = options;
     const {log, store, reader} = options;
     this.mirrors = {
       [Topic.OPERATOR]: new TopicMirror(Topic.OPERATOR),
@@ -88,8 +88,11 @@
       [Topic.HOSTS]: new TopicMirror(Topic.HOSTS),
     };
     const {mirrors} = this;
-    const freshness = mirrors[Topic.OPERATOR];
-    const refusals = new RefusedEntryReporter({log, metrics: options.metrics});
+    const operatorMirror = mirrors[Topic.OPERATOR];
+    const refusedEntries = new RefusedEntryReporter({
+      log,
+      metrics: options.metrics,
+    });
     this.metrics = options.metrics;
     this.prefixes = new PrefixCacheIndex({clock});
     this.storeHealth = new StoreHealth({clock, log});
@@ -97,7 +100,7 @@
       clock,
       log,
       mirror: mirrors[Topic.HOSTS],
-      refusedEntries: refusals,
+      refusedEntries,
       self: {
         name: settings.host,
         place: settings.place,
@@ -109,49 +112,53 @@
       clock: ageClock,
       log,
       reader,
-      mirror: freshness,
+      mirror: operatorMirror,
     });
     this.cordons = new CordonRegistry({
       clock: ageClock,
       log,
       reader,
-      mirror: freshness,
+      mirror: operatorMirror,
     });
     this.serviceLimits = new ServiceLimits({
       clock,
       configuration: this.configuration,
       hostDirectory: this.hostDirectory,
-      currentSettings: liveSettings,
+      currentSettings,
       retryWindowMs: settings.retryWindowMs,
     });
     const {cordons} = this;
-    const cold = new ColdStartBound({
+    const coldStartBound = new ColdStartBound({
       clock,
       host: settings.host,
       hostsOf: place => this.hostDirectory.listRegisteredIn(place),
       allHosts: () => this.hostDirectory.listRegistered(),
       limitsOf: service => this.serviceLimits.coldStartLimitOf(service),
     });
-    const named = new DeclaredLimitBound({
+    const declaredLimitBound = new DeclaredLimitBound({
       clock,
       host: settings.host,
       hosts: () =>
         this.hostDirectory.isLoaded ? this.hostDirectory.listRegistered() : [],
-      tolerance: () => getLimitTolerance(liveSettings()),
+      tolerance: () => getLimitTolerance(currentSettings()),
+    });
+    const sentCalls = new SentCalls({clock, retentionMs: SENT_CALL_TTL_MS});
+    this.runnerGate = new RunnerGate({
+      cordons,
+      bounds: [coldStartBound, declaredLimitBound],
+      sent: sentCalls,
     });
-    const sent = new SentCalls({clock, retentionMs: SENT_CALL_TTL_MS});
-    this.runnerGate = new RunnerGate({cordons, bounds: [cold, named], sent});
     this.directory = new RunnerDirectory({
       clock: ageClock,
       log,
       reader,
-      freshnessMirror: freshness,
+      freshnessMirror: operatorMirror,
       mirror: mirrors[Topic.RUNNERS],
-      refusedEntries: refusals,
+      refusedEntries,
       isCordoned: place => cordons.has(place),
       onRemoved: id => {
         this.prefixes.removeRunner(id);
-        sent.removeRunner(id);
+        sentCalls.removeRunner(id);
         this.declaredLimits.removeRunner(id);
       },
       createRunner: entry => this.createRunner(entry),
@@ -159,7 +166,7 @@
     cordons.onChange(() => this.directory.invalidateAccepting());
     this.rolloutStarts = new RolloutStartRecords({
       clock,
-      refusedEntries: refusals,
+      refusedEntries,
       store,
       mirror: mirrors[Topic.HOSTS],
     });
@@ -171,36 +178,30 @@
       clock,
       log,
       reader,
-      refusedEntries: refusals,
+      refusedEntries,
       sessions: this.sessions,
-      orders: freshness,
+      orders: operatorMirror,
       states: mirrors[Topic.STATUS],
       isConnected: () =>
-        ageClock.now() - freshness.freshAsOf < CONNECTED_MAX_AGE_MS,
+        ageClock.now() - operatorMirror.freshAsOf < CONNECTED_MAX_AGE_MS,
       startRecords: this.rolloutStarts,
       hostCount: () => this.hostDirectory.liveCount,
       exposureBounds: () => {
-        const {exposureShare: share, exposureCalls: calls} = liveSettings();
+        const {exposureShare: share, exposureCalls: calls} = currentSettings();
         return {share, calls};
       },
     });
     this.quarantine = new Quarantine({clock});
-    const {
-      directory,
-      rollouts,
-      prefixes,
-      quarantine,
-      hostDirectory: roster,
-    } = this;
+    const {directory, rollouts, prefixes, quarantine, hostDirectory} = this;
     this.quarantineSynchronizer = new QuarantineSynchronizer({
       clock,
       log,
       store,
-      refusedEntries: refusals,
+      refusedEntries,
       quarantine,
       mirror: mirrors[Topic.HOSTS],
       host: settings.host,
-      listLiveHosts: () => roster.listLive().map(({name}) => name),
+      listLiveHosts: () => hostDirectory.listLive().map(({name}) => name),
     });
     this.declaredLimits = new DeclaredLimitExchange({clock, log, directory});
     this.runnerLoads = new RunnerLoadExchange({
--- a/packages/gateway/src/host/runner_load_exchange.test.ts
+++ b/packages/gateway/src/host/runner_load_exchange.test.ts
@@ -14,7 +14,7 @@
   ],
 };
 
-/** A host's loads, and the directory and parts behind them; without roll-outs. */
+/** Creates a host's load exchange with its runner directory and prefix cache index, without rollouts. */
 function createHost() {
   const fixture = new DirectoryFixture(new PlainReader());
   const {directory, prefixes} = fixture;
@@ -50,29 +50,29 @@
   fixture.put('one', JSON.stringify(entry));
 }
 
-function tell(from: Host, to: Host): void {
+function sendDigest(from: Host, to: Host): void {
   to.loads.applyPeerDigest(from.loads.createDigest());
 }
 
-void test('what another host tells of an earlier start is not believed of a later one under the same id', () => {
+void test("a peer's load of an earlier incarnation does not count for a later one with the same id", () => {
   const [here, there] = [createHost(), createHost()];
   put(here, 1_000_000);
   put(there, 1_000_000);
   there.fixture.directory.all()[0].noteSent(400);
   there.fixture.prefixes.notePrompt('one', 'small', prompt);
-  tell(there, here);
+  sendDigest(there, here);
   const runner = () => here.fixture.directory.all()[0];
-  const kept = () =>
+  const countCachedTokens = () =>
     here.fixture.prefixes.createCachedTokenCounter('small', prompt)('one');
   assert.equal(runner().totalRunning, 1);
-  assert.equal(kept(), 20);
-  // The other host has not heard of the new start yet.
+  assert.equal(countCachedTokens(), 20);
+  // The other host does not know the new incarnation yet.
   put(here, 1_000_001);
-  tell(there, here);
+  sendDigest(there, here);
   assert.equal(runner().totalRunning, 0);
-  assert.equal(kept(), 0);
+  assert.equal(countCachedTokens(), 0);
   put(there, 1_000_001);
   there.fixture.directory.all()[0].noteSent(400);
-  tell(there, here);
+  sendDigest(there, here);
   assert.equal(runner().totalRunning, 1);
 });
--- a/packages/gateway/src/host/runner_load_exchange.ts
+++ b/packages/gateway/src/host/runner_load_exchange.ts
@@ -16,24 +16,24 @@
   readonly quarantine: Quarantine;
 }
 
-/** Weight of outcomes under which a runner without running requests is not told of. */
+/** A runner without running requests is left out of the digest if its outcomes weigh less than this. */
 const MIN_REPORTED_WEIGHT = 0.05;
 
-/** What counts for a runner of which nobody told. */
+/** Load of a runner that no digest contains. */
 const NO_LOAD = [0, 0, 0, 0] as const;
 
-/** Loads and outcomes at runners, as this host and the others tell them to each other. */
+/** Exchanges load digests with other hosts: load and outcomes at runners, rollouts, prompt parts and quarantine. */
 export class RunnerLoadExchange {
   private lastAppliedAt = -Infinity;
 
   constructor(private readonly options: Options) {}
 
-  /** Time since other hosts last told, in ms. What a reader tells of another place is older by half a second. */
+  /** Time since the last digest from other hosts, in ms. What a reader relays of another place is half a second older. */
   get ageMs(): number {
     return this.options.clock.now() - this.lastAppliedAt;
   }
 
-  /** What this host tells the others. */
+  /** Creates the digest that this host sends to the others. */
   createDigest(): LoadDigest {
     const runners: Record<string, [number, number, number, number]> = {};
     for (const {entry, ownLoad} of this.options.directory.all()) {
@@ -58,7 +58,7 @@
     return {runners, rollouts, parts: this.collectPromptParts(), quarantine};
   }
 
-  /** Takes over what the other hosts told, summed over them. */
+  /** Applies the sum of the other hosts' digests. */
   applyPeerDigest({
     runners,
     rollouts,
@@ -68,11 +68,12 @@
     const {clock, directory, prefixes} = this.options;
     this.lastAppliedAt = clock.now();
     for (const runner of directory.all()) {
-      // What is told of another start under the same id is not about this one.
-      const start = getIncarnationId(runner.entry);
-      const [running, pendingMs, ok, failed] = runners[start] ?? NO_LOAD;
+      // Digests are keyed by incarnation: the load of another one with the same id does not count.
+      const incarnationId = getIncarnationId(runner.entry);
+      const [running, pendingMs, ok, failed] =
+        runners[incarnationId] ?? NO_LOAD;
       runner.peerLoad.updateFromPeers({running, pendingMs, ok, failed});
-      const keys = parts[start];
+      const keys = parts[incarnationId];
       if (keys) prefixes.addKeysFromPeers(runner.entry.id, keys);
     }
     this.options.rollouts.applyRemoteDigests(rollouts);
@@ -80,16 +81,16 @@
   }
 
   private collectPromptParts(): PartKeysByRunner {
-    const news = this.options.prefixes.collectRecentKeys();
+    const recentKeys = this.options.prefixes.collectRecentKeys();
     const parts: Record<string, readonly number[]> = {};
     for (const {entry} of this.options.directory.all()) {
-      const keys = news[entry.id];
+      const keys = recentKeys[entry.id];
       if (keys) parts[getIncarnationId(entry)] = keys;
     }
     return parts;
   }
 
-  /** Requests of this host that run on versions which the roll-out replaces. */
+  /** Counts this host's running requests on versions that the rollout replaces. */
   countOldRunning({order}: Rollout): number {
     return this.options.directory
       .all()
--- a/packages/gateway/src/host/service_limits.ts
+++ b/packages/gateway/src/host/service_limits.ts
@@ -10,24 +10,24 @@
   readonly clock: Clock;
   readonly configuration: ActiveConfiguration;
   readonly hostDirectory: HostDirectory;
-  /** The settings in force. */
+  /** The currentSettings in force. */
   readonly currentSettings: () => GatewaySettings;
   /** Window over which retries are counted, in ms; fixed at the start. */
   readonly retryWindowMs: number;
 }
 
-/** Part of a runner's connections that all hosts together open. */
+/** Fraction of a runner's connections that all hosts together open. */
 const CONNECTION_FRACTION = 0.9;
-/** Connections a host may open to a runner whatever its share is. */
+/** Connections that a host may open to a runner even if its share is lower. */
 const MIN_CONNECTIONS = 3;
-/** Window in which the platform counts calls to a cold runner, in ms. */
+/** Window in which the platform counts calls to a runner in cold start, in ms. */
 const COLD_START_WINDOW_MS = 1_000;
-/** Window over which room for urgent calls is kept, in ms: about that of the limits that runners name. */
+/** Window over which capacity is reserved for urgent calls, in ms: about that of declared limits. */
 const PRIORITY_WINDOW_MS = 4_000;
-/** Latency target of services that no route names, in ms. */
+/** Upper bound of a service's latency target, in ms, which applies if no route targets the service. */
 const MAX_LATENCY_TARGET_MS = 10_000;
 
-/** What this host may use of each service, by the configuration and the number of hosts. */
+/** This host's limits for each service, from the configuration and the number of hosts. */
 export class ServiceLimits {
   private readonly retryBudgets = new Map<string, SharedRetryBudget>();
   private readonly priorityAdmissions = new Map<string, PriorityAdmission>();
@@ -38,7 +38,7 @@
     this.startedAt = options.clock.now();
   }
 
-  /** Connections that this host may hold to a runner of the service. */
+  /** Maximum number of connections of this host to a runner of the service. */
   maxConnections(service: string): number {
     const all =
       this.options.configuration.current?.services.get(service)?.maxConnections;
@@ -48,12 +48,13 @@
     return Math.max(MIN_CONNECTIONS, Math.floor(share));
   }
 
-  /** What runners of the service bear while they are slow from their start; undefined if nothing bounds it. */
+  /** Rate limit of the service's runners during cold start; undefined if there is none. */
   coldStartLimitOf(service: string): RunnerRateLimit | undefined {
-    const {configuration: belief, currentSettings: settings} = this.options;
-    const perSecond = belief.current?.services.get(service)?.coldCallsPerSecond;
+    const {configuration, currentSettings} = this.options;
+    const perSecond =
+      configuration.current?.services.get(service)?.coldCallsPerSecond;
     if (perSecond === undefined) return undefined;
-    const {coldOverage: overage, coldSlack: slack} = settings();
+    const {coldOverage: overage, coldSlack: slack} = currentSettings();
     return {perSecond, overage, slack, windowMs: COLD_START_WINDOW_MS};
   }
 
@@ -61,43 +62,41 @@
   retryBudgetOf(service: string): SharedRetryBudget {
     const known = this.retryBudgets.get(service);
     if (known) return known;
-    const {
-      clock,
-      currentSettings: settings,
-      retryWindowMs,
-      hostDirectory: roster,
-    } = this.options;
+    const {clock, currentSettings, retryWindowMs, hostDirectory} = this.options;
     const budget = new SharedRetryBudget({
       clock,
-      ratio: () => settings().retryRatio,
-      extra: () => settings().retryExtra,
+      ratio: () => currentSettings().retryRatio,
+      extra: () => currentSettings().retryExtra,
       startedAt: this.startedAt,
       windowMs: retryWindowMs,
-      hosts: () => roster.peakLiveCount,
+      hosts: () => hostDirectory.peakLiveCount,
     });
     this.retryBudgets.set(service, budget);
     return budget;
   }
 
-  /** Who gets what runners of a service take, where that is less than is wanted. */
+  /** Admission by priority to a service whose runners accept fewer calls than are waiting. */
   priorityAdmissionOf(service: string): PriorityAdmission {
     const known = this.priorityAdmissions.get(service);
     if (known) return known;
     const {clock} = this.options;
-    const rule = new PriorityAdmission({clock, windowMs: PRIORITY_WINDOW_MS});
-    this.priorityAdmissions.set(service, rule);
-    return rule;
+    const admission = new PriorityAdmission({
+      clock,
+      windowMs: PRIORITY_WINDOW_MS,
+    });
+    this.priorityAdmissions.set(service, admission);
+    return admission;
   }
 
-  /** Repeats that this host may still send, by service. */
+  /** Retries that this host may still send, by service, as series of a metric. */
   sampleRetryBudgets(): MetricSample[] {
-    return [...this.retryBudgets].map(([service, {remaining: left}]) => ({
+    return [...this.retryBudgets].map(([service, {remaining}]) => ({
       labels: {service},
-      value: left,
+      value: remaining,
     }));
   }
 
-  /** What a model costs over the cheapest one of its engine; undefined if no engine tells. */
+  /** Cost of a model relative to the cheapest one of its engine; undefined if no engine lists it. */
   costFactorOf(model: string): number | undefined {
     const services =
       this.options.configuration.current?.services.values() ?? [];
@@ -108,7 +107,7 @@
     return undefined;
   }
 
-  /** The shortest latency target of a service's routes, in ms. */
+  /** Shortest latency target of the service's routes, in ms. */
   latencyTargetOf(service: string): number {
     const routes = this.options.configuration.current?.routes ?? [];
     const targets = routes
--- a/packages/gateway/src/host/state_synchronizer.ts
+++ b/packages/gateway/src/host/state_synchronizer.ts
@@ -13,11 +13,12 @@
 import type {GatewayOptions} from './gateway_options.js';
 import type {HostState} from './host_state.js';
 
-/** How long one read of the operator's topic waits, in ms: the age of what hosts know in calm times. */
+/** Long-poll timeout for the operator's topic, in ms: its mirror is this old at most in normal operation. */
 const OPERATOR_LONG_POLL_MS = 1_000;
-/** The same for topics whose age does not matter; a record ends the wait at once. */
+/** Long-poll timeout for topics whose age does not matter, in ms; a new record ends the wait immediately. */
 const DEFAULT_LONG_POLL_MS = 10_000;
-/** What keeps a host's knowledge current: the store's followers and the exchange with other hosts. */
+
+/** Keeps a host's state current: follows the store's topics and synchronizes with other hosts. */
 export class StateSynchronizer {
   /** Decides which hosts read the store. */
   readonly peerSynchronizer: PeerSynchronizer;
@@ -35,11 +36,11 @@
     private readonly state: HostState,
   ) {
     const {settings, clock, log} = options;
-    const {runnerLoads: loads} = state;
+    const {runnerLoads} = state;
     this.loadDigests = new LoadDigestRegistry({
       clock,
       place: settings.place,
-      createOwnDigest: () => loads.createDigest(),
+      createOwnDigest: () => runnerLoads.createDigest(),
     });
     this.syncProtocol = this.createSyncProtocol();
     this.peerClient = new PeerClient({clock});
@@ -54,13 +55,13 @@
       clock,
       isOpen: () => this.peerSynchronizer.readsStore,
     });
-    const {peerClient: client, syncProtocol: desk} = this;
-    const {hostDirectory: roster} = state;
+    const {peerClient, syncProtocol} = this;
+    const {hostDirectory} = state;
     this.limitBroadcaster = new LimitBroadcaster({
       clock: options.ageClock,
-      hostDirectory: roster,
-      client,
-      protocol: desk,
+      hostDirectory,
+      client: peerClient,
+      protocol: syncProtocol,
     });
     state.declaredLimits.onUrgentChange(change =>
       this.publishLimitChange(change),
@@ -71,19 +72,19 @@
     );
   }
 
-  /** Answers other hosts from now on. */
+  /** Starts to answer other hosts. */
   listen(): Promise<void> {
     return this.peerServer.start();
   }
 
-  /** Follows the store and the other hosts from now on; resolves when the seeds have been asked. */
+  /** Starts to follow the store and the other hosts; resolves after the seed bootstrap. */
   async startFollowing(): Promise<void> {
     this.peerSynchronizer.start();
     await this.seedBootstrap.run();
     for (const follower of this.followers) follower.start();
   }
 
-  /** Stops following. */
+  /** Stops following the store and the other hosts. */
   stopFollowing(): void {
     this.peerSynchronizer.stop();
     this.seedBootstrap.stop();
@@ -91,51 +92,51 @@
     this.readGate.stop();
   }
 
-  /** Closes what leads to other hosts. */
+  /** Closes the connections to other hosts. */
   close(): void {
     this.peerServer.stop();
     this.peerClient.stop();
   }
 
-  /** Loads, and what is told of roll-outs, count from the first answer on, also from a seed's. */
+  /** Applies the other hosts' load digests; called from the first response on, including that of a seed. */
   private applyPeerLoads(): void {
     this.state.runnerLoads.applyPeerDigest(this.loadDigests.sumOthers());
   }
 
-  /** What another host told has reached the readers already. */
-  private publishLimitChange({isFromPeer: isTold}: LimitChange): void {
+  /** Publishes a changed limit, and broadcasts it unless a peer sent it: then it has reached the readers already. */
+  private publishLimitChange({isFromPeer}: LimitChange): void {
     this.syncProtocol.publishLimits();
-    if (!isTold) this.limitBroadcaster.scheduleBroadcast();
+    if (!isFromPeer) this.limitBroadcaster.scheduleBroadcast();
   }
 
   private createSyncProtocol(): SyncProtocol {
     const {
       declaredLimits: limits,
       mirrors,
-      hostDirectory: roster,
+      hostDirectory,
       storeHealth,
     } = this.state;
     return new SyncProtocol({
-      storeHealth: storeHealth,
+      storeHealth,
       clock: this.options.ageClock,
       freshnessMirror: mirrors[Topic.OPERATOR],
       mirrors: Object.values(mirrors),
       loadDigests: this.loadDigests,
       limits,
-      hostDirectory: roster,
+      hostDirectory,
     });
   }
 
   private createSeedBootstrap(): SeedBootstrap {
     const {settings, ageClock, log} = this.options;
-    const {mirrors, hostDirectory: roster} = this.state;
+    const {mirrors, hostDirectory} = this.state;
     return new SeedBootstrap({
       clock: ageClock,
       log,
       client: this.peerClient,
       protocol: this.syncProtocol,
       mirrors: Object.values(mirrors),
-      ownAddress: roster.self.address,
+      ownAddress: hostDirectory.self.address,
       seeds: settings.seeds,
       isFirstStart: settings.isFirstStart,
       onSync: () => this.applyPeerLoads(),
@@ -144,7 +145,7 @@
 
   private createPeerSynchronizer(): PeerSynchronizer {
     const {ageClock, random, log, settings} = this.options;
-    const {mirrors, hostDirectory: roster, metrics} = this.state;
+    const {mirrors, hostDirectory, metrics} = this.state;
     return new PeerSynchronizer({
       clock: ageClock,
       random,
@@ -153,7 +154,7 @@
       freshnessMirror: mirrors[Topic.OPERATOR],
       configurationBoundMs: settings.configurationBoundMs,
       waitsForSeeds: this.seedBootstrap.waitsForSeeds,
-      hostDirectory: roster,
+      hostDirectory,
       client: this.peerClient,
       protocol: this.syncProtocol,
       waitUntilReader: () => this.readGate.wait(),
@@ -180,14 +181,16 @@
     return !isLoaded || this.isReaderOf(topic);
   }
 
-  /** A host that knows nothing current does not wait: an answer tells at once that nothing is new. */
+  /** A host with a stale mirror does not long-poll: an immediate response confirms that there is nothing new. */
   private getLongPollMs(topic: Topic): number {
     if (topic !== Topic.OPERATOR) return DEFAULT_LONG_POLL_MS;
     return this.peerSynchronizer.isStale ? 0 : OPERATOR_LONG_POLL_MS;
   }
 
   private isReaderOf(topic: Topic): boolean {
-    const {peerSynchronizer: news} = this;
-    return topic === Topic.OPERATOR ? news.readsStore : news.readsAllTopics;
+    const {peerSynchronizer} = this;
+    return topic === Topic.OPERATOR
+      ? peerSynchronizer.readsStore
+      : peerSynchronizer.readsAllTopics;
   }
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwards routed calls to runners, on top of a record store that the platform runs. */
+/** Gateway that routes calls to runners, on top of a record store that the platform provides. */
 export type {RecordReader} from './discovery/record_reader.js';
 export type {HeaderNames} from './calls/header_names.js';
 export {Gateway} from './gateway.js';
