--- a/packages/gateway/src/discovery/cordon_registry.test.ts
+++ b/packages/gateway/src/discovery/cordon_registry.test.ts
@@ -70,9 +70,9 @@
   await fixture.waitReady();
   cordon('a');
   await waitCordoned();
-  const answer = await fixture.call();
-  assert.equal(answer.status, 503);
-  assert.ok(Number(answer.headers['retry-after']) > 0);
+  const response = await fixture.call();
+  assert.equal(response.status, 503);
+  assert.ok(Number(response.headers['retry-after']) > 0);
   assert.equal(near.received.length, 0);
   const [line] = fixture.events('request_failed');
   assert.equal(line.hasRun, 'no');
@@ -105,9 +105,9 @@
       'content-type': 'text/event-stream',
     });
     response.write('id: 1\ndata: piece 1\n\n');
-    const begun = finish;
+    const finishPrevious = finish;
     finish = () => {
-      begun();
+      finishPrevious();
       if (path.endsWith('breaks')) return void socket.destroy();
       response.end('id: 2\ndata: piece 2\n\n');
     };
@@ -120,7 +120,7 @@
     });
     response.end('id: 2\ndata: piece 2\n\n');
   };
-  const answers = [
+  const responses = [
     fixture.call({path: '/x/ends'}),
     fixture.call({path: '/x/breaks'}),
   ];
@@ -130,7 +130,7 @@
   await waitCordoned();
   await fixture.waitFor(() => fixture.events('runner_seen').length === 2);
   finish();
-  for (const {body, isWhole} of await Promise.all(answers)) {
+  for (const {body, isWhole} of await Promise.all(responses)) {
     assert.ok(isWhole);
     assert.equal(body, 'id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n');
   }
--- a/packages/gateway/src/discovery/discovery.test.ts
+++ b/packages/gateway/src/discovery/discovery.test.ts
@@ -25,9 +25,9 @@
 
 void test('without a configuration a call is rejected with 503 and retry-after', async () => {
   await fixture.startHost();
-  const answer = await fixture.call();
-  assert.equal(answer.status, 503);
-  assert.ok(answer.headers['retry-after']);
+  const response = await fixture.call();
+  assert.equal(response.status, 503);
+  assert.ok(response.headers['retry-after']);
   assert.equal(await fixture.readiness(), 503);
 });
 
@@ -88,7 +88,7 @@
   await fixture.waitFor(() => fixture.events('freshness_lost').length > 0);
   assert.equal((await fixture.call(withKey)).status, 200);
   assert.equal(await fixture.readiness(), 200);
-  // Once the configuration is too old to rule out that an unknown key is new, which is a little later, the answer is 503.
+  // Once the configuration is too old to rule out that an unknown key is new, which is a little later, the response is 503.
   const unknown = {headers: {[names.apiKey]: 'key-2'}};
   await fixture.waitFor(
     async () => (await fixture.call(unknown)).status === 503,
