--- a/packages/decisions/src/limits/admission_queue.ts
+++ b/packages/decisions/src/limits/admission_queue.ts
@@ -6,7 +6,7 @@
 interface Options {
   readonly clock: Clock;
   readonly discipline: QueueDiscipline;
-  /** How many items of each class may wait. */
+  /** Maximum number of queued requests of each priority class. */
   readonly maxPerClass: number;
 }
 
@@ -15,14 +15,14 @@
   readonly tag: number;
   readonly joined: number;
   readonly grant: (grant: Grant) => void;
-  readonly refuse: (problem: Problem) => void;
+  readonly reject: (problem: Problem) => void;
 }
 
 const RETRY_AFTER_MS = 1_000;
 
 /**
- * A bounded queue before the runners. An item leaves it with what `pass` gives
- * (a place at a runner), or with a refusal; in both cases no work has begun.
+ * A bounded queue of requests that wait for a runner. A request leaves it with the grant that `admit`
+ * obtained (capacity at a runner) or with a rejection; in both cases it has not started to run.
  */
 export class AdmissionQueue<Item extends QueuedRequest, Grant> {
   private entries: Entry<Item, Grant>[] = [];
@@ -34,13 +34,13 @@
     return this.entries.length;
   }
 
-  /** How many of one class wait. */
+  /** Counts the queued requests of one priority class. */
   countWaiting(priority: string): number {
     return this.entries.filter(entry => entry.item.priority === priority)
       .length;
   }
 
-  /** Joins the queue; rejects at once when it is full, and later when the deadline passes or `signal` aborts. */
+  /** Queues a request. Rejects at once when its class is full, and later when its deadline passes or `signal` aborts. */
   enqueue(item: Item, signal: AbortSignal): Promise<Grant> {
     if (this.countWaiting(item.priority) >= this.options.maxPerClass)
       return Promise.reject(createQueueFullProblem());
@@ -48,7 +48,7 @@
       const timer = this.options.clock.after(
         item.deadlineAt - this.options.clock.now(),
         () => {
-          leave();
+          removeEntry();
           reject(createDeadlineProblem());
         },
       );
@@ -57,36 +57,35 @@
         tag: this.options.discipline.assignTag(item),
         joined: this.joined++,
         grant: grant => {
-          leave();
+          removeEntry();
           resolve(grant);
         },
-        refuse: problem => {
-          leave();
+        reject: problem => {
+          removeEntry();
           reject(problem);
         },
       };
-      const abort = () => entry.refuse(createCancelledProblem());
-      const leave = () => {
+      const onAbort = () => entry.reject(createCancelledProblem());
+      const removeEntry = () => {
         timer.cancel();
-        signal.removeEventListener('abort', abort);
+        signal.removeEventListener('abort', onAbort);
         this.entries = this.entries.filter(other => other !== entry);
       };
-      signal.addEventListener('abort', abort, {once: true});
+      signal.addEventListener('abort', onAbort, {once: true});
       this.insert(entry);
     });
   }
 
   /**
-   * Offers room to the waiting items in order. `take` gives a grant for an item
-   * that can go now, nothing for one that must wait on, and a problem for one that
-   * can never go.
+   * Offers free capacity to the queued requests in order. `take` returns a grant for a request that
+   * can start now, undefined for one that has to keep waiting, and a problem for one that can never start.
    */
   admit(take: (item: Item) => Grant | Problem | undefined): void {
     for (const entry of [...this.entries]) {
       const result = take(entry.item);
       if (result === undefined) continue;
       if (result instanceof Problem) {
-        entry.refuse(result);
+        entry.reject(result);
         continue;
       }
       this.options.discipline.recordDequeue(entry.item, entry.tag);
@@ -108,7 +107,7 @@
 function createQueueFullProblem(): Problem {
   return new Problem({
     kind: ProblemKind.OVERLOADED,
-    what: 'too many requests of this class wait already',
+    what: 'too many requests of this class are already queued',
     remedy: 'come back after the time in Retry-After',
     retryAfterMs: RETRY_AFTER_MS,
   });
@@ -127,7 +126,7 @@
 function createCancelledProblem(): Problem {
   return new Problem({
     kind: ProblemKind.CANCELLED,
-    what: 'the caller left before the request was dispatched',
-    remedy: 'send it again if it is still wanted',
+    what: 'the caller disconnected before the request was dispatched',
+    remedy: 'send it again if it is still needed',
   });
 }
--- a/packages/decisions/src/limits/compute_limit_share.ts
+++ b/packages/decisions/src/limits/compute_limit_share.ts
@@ -1,26 +1,29 @@
 interface Options {
-  /** Recent requests a second that this host was asked for. */
+  /** Recent requests per second that this host received. */
   readonly ownDemand: number;
-  /** The same over all hosts that this one hears of, itself included. */
+  /** The same over all hosts that this host considers alive, itself included. */
   readonly totalDemand: number;
-  /** How many hosts this one hears of, itself included. */
+  /** Number of hosts that this host considers alive, itself included. */
   readonly aliveHosts: number;
-  /** All hosts of the fleet, living or cut off. */
+  /** Number of hosts in the fleet, reachable or not. */
   readonly fleetHosts: number;
 }
 
-/** The part that is spread evenly, so that a host with no demand yet can begin. */
+/** Fraction of the limit that is divided evenly, so that a host without demand yet can admit its first requests. */
 const EVEN_SHARE = 0.2;
 
 /**
- * This host's part of a limit, 0 to 1. Hosts with the same view share by demand.
- * A group that is cut off from the rest shares only its own part of the limit,
- * so the parts of all groups together never pass the whole.
+ * Computes this host's share of a limit, 0 to 1. Hosts with the same membership view share by demand.
+ * During a network partition, each group of hosts shares only its own fraction of the limit, so the
+ * shares of all groups together never exceed the limit.
  */
 export function computeLimitShare(options: Options): number {
-  const {ownDemand, totalDemand, fleetHosts: fleet} = options;
-  const living = Math.max(1, options.aliveHosts);
-  const group = Math.min(1, living / Math.max(living, fleet));
-  const byDemand = totalDemand > 0 ? ownDemand / totalDemand : 1 / living;
-  return group * (EVEN_SHARE / living + (1 - EVEN_SHARE) * byDemand);
+  const {ownDemand, totalDemand, fleetHosts} = options;
+  const aliveHosts = Math.max(1, options.aliveHosts);
+  const groupShare = Math.min(1, aliveHosts / Math.max(aliveHosts, fleetHosts));
+  const demandShare =
+    totalDemand > 0 ? ownDemand / totalDemand : 1 / aliveHosts;
+  return (
+    groupShare * (EVEN_SHARE / aliveHosts + (1 - EVEN_SHARE) * demandShare)
+  );
 }
--- a/packages/decisions/src/limits/fifo_queueing.ts
+++ b/packages/decisions/src/limits/fifo_queueing.ts
@@ -1,6 +1,6 @@
 import type {QueueDiscipline} from './queue_discipline.js';
 
-/** A baseline: first come, first served. */
+/** Baseline discipline: first in, first out. */
 export class FifoQueueing implements QueueDiscipline {
   private arrivals = 0;
 
--- a/packages/decisions/src/limits/limits.test.ts
+++ b/packages/decisions/src/limits/limits.test.ts
@@ -16,7 +16,7 @@
   return {workspace, weight: 1, priority, deadlineAt: 60_000, cost: 1};
 }
 
-void test('urgent work goes first, and workspaces take turns however many requests each has waiting', async () => {
+void test('urgent requests are served first, and workspaces alternate regardless of how many requests each has queued', async () => {
   const clock = new VirtualClock();
   const queue = new AdmissionQueue<QueuedRequest, string>({
     clock,
@@ -42,14 +42,14 @@
   );
 });
 
-void test('the parts of a limit add up to at most the whole, also when the fleet falls into groups', () => {
+void test('the shares of a limit sum to at most the whole limit, also when the fleet is partitioned', () => {
   const fleet = 10;
   const groups = [
     [5, 1, 0, 0],
     [9, 9, 9],
     [0, 0, 2],
   ];
-  const parts = groups.flatMap(demands => {
+  const shares = groups.flatMap(demands => {
     const totalDemand = demands.reduce((sum, demand) => sum + demand, 0);
     return demands.map(ownDemand =>
       computeLimitShare({
@@ -60,12 +60,12 @@
       }),
     );
   });
-  const sum = parts.reduce((total, part) => total + part, 0);
+  const sum = shares.reduce((total, share) => total + share, 0);
   assert.ok(sum <= 1 + 1e-9, String(sum));
-  assert.ok(parts.every(part => part > 0));
+  assert.ok(shares.every(share => share > 0));
 });
 
-void test('a request whose deadline passes in the queue is refused, and a full class refuses at once', async () => {
+void test('a request is rejected when its deadline passes in the queue, and at once when its class is full', async () => {
   const clock = new VirtualClock();
   const queue = new AdmissionQueue<QueuedRequest, string>({
     clock,
--- a/packages/decisions/src/limits/queue_discipline.ts
+++ b/packages/decisions/src/limits/queue_discipline.ts
@@ -1,9 +1,9 @@
 import type {QueuedRequest} from './queued_request.js';
 
-/** Decides who goes first. */
+/** The order in which an admission queue serves its requests. */
 export interface QueueDiscipline {
-  /** The item's place in the order: lower goes first. Asked once, when it joins. */
+  /** Returns the request's sort key: lower tags are served first. Called once, when the request is queued. */
   assignTag(item: QueuedRequest): number;
-  /** Told when an item with this tag is taken. */
+  /** Records that a request with this tag left the queue for a runner. */
   recordDequeue(item: QueuedRequest, tag: number): void;
 }
--- a/packages/decisions/src/limits/queue_wait_estimator.ts
+++ b/packages/decisions/src/limits/queue_wait_estimator.ts
@@ -2,11 +2,11 @@
 
 interface Options {
   readonly clock: Clock;
-  /** Over which time departures are averaged, in ms. */
+  /** Time constant of the average departure rate, in ms. */
   readonly windowMs: number;
 }
 
-/** Predicts the wait in the queue from the rate at which items leave it. */
+/** Estimates the wait in a queue from the rate at which requests leave it. */
 export class QueueWaitEstimator {
   private rate = 0;
   private lastAt: number;
@@ -20,7 +20,7 @@
     this.rate += 1 / this.options.windowMs;
   }
 
-  /** The expected wait in ms behind `ahead` items; 0 while nothing is known. */
+  /** Returns the expected wait in ms behind `ahead` requests; 0 while no departure rate is known. */
   estimateWaitMs(ahead: number): number {
     this.decay();
     if (ahead === 0 || this.rate <= 0) return 0;
--- a/packages/decisions/src/limits/queued_request.ts
+++ b/packages/decisions/src/limits/queued_request.ts
@@ -5,8 +5,8 @@
   readonly workspace: string;
   readonly weight: number;
   readonly priority: PriorityClass;
-  /** Monotonic time in ms by which its answer must have begun. */
+  /** Monotonic time in ms by which its response must have started. */
   readonly deadlineAt: number;
-  /** Its expected work, in any unit that all items share. */
+  /** Expected work, in a unit common to all requests. */
   readonly cost: number;
 }
--- a/packages/decisions/src/limits/rate_meter.ts
+++ b/packages/decisions/src/limits/rate_meter.ts
@@ -4,11 +4,11 @@
 
 interface Options {
   readonly clock: Clock;
-  /** The time over which events are averaged, in ms. */
+  /** Time constant of the average, in ms. */
   readonly windowMs: number;
 }
 
-/** An exponentially weighted rate of events a second. */
+/** An exponentially weighted average of events per second. */
 export class RateMeter {
   private rate = 0;
   private lastAt: number;
--- a/packages/decisions/src/limits/start_time_fair_queueing.ts
+++ b/packages/decisions/src/limits/start_time_fair_queueing.ts
@@ -2,7 +2,7 @@
 import type {QueueDiscipline} from './queue_discipline.js';
 import type {QueuedRequest} from './queued_request.js';
 
-/** Parts of the capacity that interactive and bulk work get while both wait. Urgent work goes before all. */
+/** Relative capacity of interactive and bulk requests while both are queued. Urgent requests are served before both. */
 const CLASS_WEIGHTS = {
   [PriorityClass.URGENT]: 1,
   [PriorityClass.INTERACTIVE]: 8,
@@ -11,9 +11,9 @@
 const URGENT_TAG_OFFSET = -1e15;
 
 /**
- * Start-time fair queueing over workspaces: an item's tag is the later of the
- * virtual time and its flow's last tag plus the cost over the weight. Urgent
- * work has a band of its own ahead of the rest, fair within itself.
+ * Start-time fair queueing over workspaces: a request's tag is the later of the virtual time and the
+ * finish tag of its flow, which is the flow's last start tag plus cost over weight. Urgent requests
+ * have a separate band ahead of the rest and are queued fairly within it.
  */
 export class StartTimeFairQueueing implements QueueDiscipline {
   private readonly finishTags = new Map<string, number>();
--- a/packages/decisions/src/limits/token_bucket.ts
+++ b/packages/decisions/src/limits/token_bucket.ts
@@ -8,7 +8,7 @@
 
 const SECOND_MS = 1_000;
 
-/** A rate limit with a burst. */
+/** A token bucket: limits a rate and allows bursts. */
 export class TokenBucket {
   private perSecond: number;
   private burst: number;
@@ -22,7 +22,7 @@
     this.refilledAt = options.clock.now();
   }
 
-  /** Changes the rate; what was saved is kept as far as it fits the new burst. */
+  /** Changes the rate and the burst; saved tokens are kept up to the new burst. */
   resize(perSecond: number, burst: number): void {
     this.refill();
     this.perSecond = perSecond;
@@ -30,7 +30,7 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes one token, or gives the ms until there will be one. */
+  /** Takes a token and returns 0, or returns the time in ms until one is available. */
   take(): number {
     this.refill();
     if (this.tokens >= 1) {
