--- a/packages/decisions/src/platform/cache_event.ts
+++ b/packages/decisions/src/platform/cache_event.ts
@@ -1,8 +1,8 @@
-/** A change of an engine's prefix cache. */
+/** A change in an engine's prefix cache. */
 export interface CacheEvent {
-  /** Grows by one with each event of the same engine. */
+  /** Sequence number; grows by one with each event of the same engine. */
   readonly position: number;
   readonly kind: 'stored' | 'evicted';
-  /** Names a prompt prefix; see `prefixChain`. */
+  /** Hash of a prompt prefix; see `hashPromptPrefixes`. */
   readonly prefix: string;
 }
--- a/packages/decisions/src/platform/generate_event.ts
+++ b/packages/decisions/src/platform/generate_event.ts
@@ -1,16 +1,16 @@
 import type {Usage} from './usage.js';
 
-/** What an engine sends while it generates. */
+/** An event in an engine's response stream. */
 export type GenerateEvent =
   | {
       readonly kind: 'token';
       readonly requestId: string;
-      /** Position in the answer, from 0. */
+      /** Index of the token in the answer, from 0. */
       readonly index: number;
       readonly text: string;
     }
   | {
-      /** The final mark; without it an answer is not whole. */
+      /** Ends the stream; an answer without this event is incomplete. */
       readonly kind: 'final';
       readonly requestId: string;
       readonly finishReason: string;
--- a/packages/decisions/src/platform/generate_request.ts
+++ b/packages/decisions/src/platform/generate_request.ts
@@ -1,19 +1,19 @@
 import type {PriorityClass} from '../configuration/priority_class.js';
 
-/** One attempt at an answer. */
+/** One attempt to generate an answer. */
 export interface GenerateRequest {
-  /** The same for every attempt at one caller's request; engines use it to resume. */
+  /** Equal for all attempts of a caller's request; engines use it to resume. */
   readonly requestId: string;
   readonly version: string;
   /** The caller's body in the OpenAI chat format. */
   readonly body: Readonly<Record<string, unknown>>;
   readonly priority: PriorityClass;
-  /** How many tokens the caller already has; generation goes on after them. */
+  /** Number of tokens that the caller already received; generation continues after them. */
   readonly resumeFrom: number;
-  /** The text of those tokens, so that another engine can go on from it. */
+  /** The text of those tokens, so that another engine can continue it. */
   readonly generatedText: string;
-  /** The chain of prefix names of the prompt, longest last. */
+  /** Hashes of the prompt's prefixes, longest last; see `hashPromptPrefixes`. */
   readonly prefixes: readonly string[];
-  /** Trace headers. */
+  /** Trace propagation headers. */
   readonly headers: Readonly<Record<string, string>>;
 }
--- a/packages/decisions/src/platform/log_page.ts
+++ b/packages/decisions/src/platform/log_page.ts
@@ -1,10 +1,10 @@
 import type {LogRecord} from './log_record.js';
 
-/** A run of records from one stream. */
+/** Consecutive records of a stream. */
 export interface LogPage {
   readonly records: readonly LogRecord[];
-  /** The oldest offset still kept. */
+  /** The oldest offset that is still retained. */
   readonly first: number;
-  /** The offset that the next record will get. */
+  /** The offset of the next record to be appended. */
   readonly next: number;
 }
--- a/packages/decisions/src/platform/log_record.ts
+++ b/packages/decisions/src/platform/log_record.ts
@@ -1,7 +1,7 @@
-/** One record as the log keeps it. */
+/** A record stored in the log. */
 export interface LogRecord {
   readonly offset: number;
-  /** The log's own wall time of the append, in ms; the same for every reader. */
+  /** Wall time of the append by the log's clock, in ms; equal for all readers. */
   readonly at: number;
   readonly value: string;
 }
--- a/packages/decisions/src/platform/rating_result.ts
+++ b/packages/decisions/src/platform/rating_result.ts
@@ -1,6 +1,6 @@
 /** The rating of one answer. */
 export interface RatingResult {
-  /** Grows with each result of the same host. */
+  /** Sequence number; grows with each result for the same host. */
   readonly position: number;
   readonly requestId: string;
   readonly good: boolean;
--- a/packages/decisions/src/platform/rating_sample.ts
+++ b/packages/decisions/src/platform/rating_sample.ts
@@ -1,4 +1,4 @@
-/** An answer handed in for rating. */
+/** An answer submitted for rating. */
 export interface RatingSample {
   readonly host: string;
   readonly requestId: string;
--- a/packages/decisions/src/platform/rating_service.ts
+++ b/packages/decisions/src/platform/rating_service.ts
@@ -1,10 +1,10 @@
 import type {RatingResult} from './rating_result.js';
 import type {RatingSample} from './rating_sample.js';
 
-/** The platform's service that rates answers, late and with noise. */
+/** The platform's service that rates answers. Ratings are delayed and noisy. */
 export interface RatingService {
   submit(sample: RatingSample): Promise<void>;
-  /** Results for this host's samples after position `after`; waits up to `waitMs` for one. */
+  /** Fetches the results for this host's samples after position `after`; waits up to `waitMs` for one (long poll). */
   fetchResults(
     host: string,
     after: number,
--- a/packages/decisions/src/platform/roster.ts
+++ b/packages/decisions/src/platform/roster.ts
@@ -1,6 +1,6 @@
 import type {RosterEntry} from './roster_entry.js';
 
-/** The platform's list of live and leaving hosts. It lags, so it is a hint. */
+/** The platform's list of running and leaving hosts. It is updated with a delay, so it is only a hint. */
 export interface Roster {
   list(signal?: AbortSignal): Promise<RosterEntry[]>;
 }
--- a/packages/decisions/src/platform/roster_entry.ts
+++ b/packages/decisions/src/platform/roster_entry.ts
@@ -1,4 +1,4 @@
-/** A host or runner as the platform lists it. */
+/** A host or runner listed by the platform. */
 export interface RosterEntry {
   readonly id: string;
   readonly leaving: boolean;
--- a/packages/decisions/src/platform/runner_failure.ts
+++ b/packages/decisions/src/platform/runner_failure.ts
@@ -1,13 +1,13 @@
 interface Options {
   readonly message: string;
-  /** Whether the runner can have begun the work. */
+  /** Whether the runner may have started the request. */
   readonly mayHaveRun: boolean;
-  /** Whether the runner refused because it has no room. */
+  /** Whether the runner rejected the request for lack of capacity. */
   readonly busy?: boolean;
   readonly cause?: unknown;
 }
 
-/** How an attempt at a runner failed. */
+/** The failure of an attempt at a runner. */
 export class RunnerFailure extends Error {
   readonly mayHaveRun: boolean;
   readonly busy: boolean;
--- a/packages/decisions/src/platform/runner_order.ts
+++ b/packages/decisions/src/platform/runner_order.ts
@@ -1,7 +1,7 @@
-/** Desired state for one version on an engine; giving the same order twice changes nothing more. */
+/** Desired state of one version on an engine. Orders are idempotent. */
 export interface RunnerOrder {
   readonly version: string;
   readonly desired: 'loaded' | 'unloaded';
-  /** The offset of the lease under which it is given. */
+  /** Log offset of the lease under which the order is sent. */
   readonly fencingToken: number;
 }
--- a/packages/decisions/src/platform/runner_report.ts
+++ b/packages/decisions/src/platform/runner_report.ts
@@ -1,13 +1,13 @@
-/** What an engine says of itself; published late. */
+/** The state that an engine reports about itself, with a delay. */
 export interface RunnerReport {
   readonly running: number;
   readonly waiting: number;
-  /** How many requests it generates for at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
   /** The versions whose weights are loaded. */
   readonly versions: readonly string[];
-  /** Whether it refuses orders with an old fencing token. */
+  /** Whether it rejects orders with an outdated fencing token. */
   readonly checksOrders: boolean;
-  /** How many versions it can hold. */
+  /** Number of versions that it can have loaded. */
   readonly versionSlots: number;
 }
--- a/packages/decisions/src/platform/service_response.ts
+++ b/packages/decisions/src/platform/service_response.ts
@@ -1,4 +1,4 @@
-/** A plain service's answer; the body is a stream or, once it is kept, a buffer. */
+/** A plain service's response; the body is a stream or, once it is stored, a buffer. */
 export interface ServiceResponse<Body> {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
--- a/packages/decisions/src/platform/weight_store.ts
+++ b/packages/decisions/src/platform/weight_store.ts
@@ -1,5 +1,5 @@
-/** The platform's store of model weights. It serves a limited number of loads. */
+/** The platform's store of model weights, which serves a limited rate of loads. */
 export interface WeightStore {
-  /** The loads that may start in a minute, over all places together. */
+  /** Returns the number of loads that may start per minute, over all places. */
   loadsPerMinute(signal?: AbortSignal): Promise<number>;
 }
