--- a/packages/decisions/src/routing/adaptive_concurrency_limit.ts
+++ b/packages/decisions/src/routing/adaptive_concurrency_limit.ts
@@ -1,5 +1,5 @@
 interface Options {
-  /** Requests at once to begin with. */
+  /** Initial number of concurrent requests. */
   readonly initial: number;
   readonly least: number;
   readonly most: number;
@@ -8,8 +8,8 @@
 const DECREASE_FACTOR = 0.8;
 
 /**
- * How many requests this host keeps at one runner: grows by one for each round of
- * answers while it is the bound, and falls by a fifth when the runner is overloaded.
+ * Limits this host's concurrent requests at one runner (AIMD): grows by one per round of responses
+ * while the limit is reached, and shrinks by a fifth when the runner is overloaded.
  */
 export class AdaptiveConcurrencyLimit {
   private limit: number;
@@ -22,13 +22,13 @@
     return Math.floor(this.limit);
   }
 
-  /** A request ended well while `inFlight` were out. */
+  /** Records that a request succeeded while `inFlight` requests were in progress. */
   recordSuccess(inFlight: number): void {
     if (inFlight < this.value - 1) return;
     this.limit = Math.min(this.options.most, this.limit + 1 / this.limit);
   }
 
-  /** The runner refused for want of room, or queued what it was sent. */
+  /** Records that the runner rejected a request for lack of capacity, or queued it. */
   recordOverload(): void {
     this.limit = Math.max(this.options.least, this.limit * DECREASE_FACTOR);
   }
--- a/packages/decisions/src/routing/crossing_policy.ts
+++ b/packages/decisions/src/routing/crossing_policy.ts
@@ -1,9 +1,9 @@
 interface Options {
-  /** Load over slots at home above which crossing begins. */
+  /** Load per slot in the home place at which crossing starts. */
   readonly startLoad?: number;
-  /** Load over slots at home below which it ends. */
+  /** Load per slot in the home place at which crossing stops. */
   readonly stopLoad?: number;
-  /** The load over slots of the other place that crossing work may not push it above. */
+  /** Load per slot in the other place at which it gets no more crossing requests. */
   readonly maxTargetLoad?: number;
 }
 
@@ -12,9 +12,9 @@
 const MAX_TARGET_LOAD = 0.8;
 
 /**
- * Whether new work may cross from a place to another. It begins at a higher load
- * than it ends, so that it does not flutter, and it leaves the other place room
- * for its own work.
+ * Decides whether new requests may cross from their home place to another place. Crossing starts at a
+ * higher load than it stops at (hysteresis), so that it does not oscillate, and it leaves the other
+ * place capacity for its own requests.
  */
 export class CrossingPolicy {
   private readonly crossingHomes = new Set<string>();
@@ -28,7 +28,7 @@
     this.maxTargetLoad = options.maxTargetLoad ?? MAX_TARGET_LOAD;
   }
 
-  /** @param homeLoad Load over slots at home; infinite when no runner there is fit. */
+  /** @param homeLoad Load per slot in the home place; infinite when no runner there is healthy. */
   mayCross(home: string, homeLoad: number, otherLoad: number): boolean {
     if (homeLoad >= this.startLoad) this.crossingHomes.add(home);
     if (homeLoad <= this.stopLoad) this.crossingHomes.delete(home);
--- a/packages/decisions/src/routing/least_predicted_wait.ts
+++ b/packages/decisions/src/routing/least_predicted_wait.ts
@@ -5,9 +5,9 @@
 
 interface Options {
   readonly random: RandomSource;
-  /** How many runners are drawn at random for comparison. */
+  /** Number of runners sampled at random for comparison. */
   readonly sampleCount?: number;
-  /** What a crossing between places costs, in ms. */
+  /** Cost of crossing to another place, in ms. */
   readonly crossingMs?: number;
 }
 
@@ -17,10 +17,9 @@
 const THOUSAND = 1_000;
 
 /**
- * Compares a few runners drawn at random, and the one that caches the longest
- * prefix, by score: expected wait, less the prefill that the cache saves, plus
- * the crossing. A random draw keeps hosts with the same lagged load from all
- * choosing the same runner.
+ * Compares a few randomly sampled runners, and the one with the longest cached prefix, by score:
+ * expected wait, minus the prefill time that the cache saves, plus the cost of crossing. Random
+ * sampling prevents hosts that see the same outdated load from all choosing the same runner.
  */
 export class LeastPredictedWait implements LoadBalancer {
   private readonly options: Required<Options>;
@@ -43,41 +42,43 @@
     return findLeast(candidates, runner => this.score(runner, request));
   }
 
-  /** The score of a runner in ms; lower is better. */
+  /** Returns the score of a runner in ms; lower is better. */
   score(runner: RunnerView, request: RouteRequest): number {
-    const ahead = Math.max(0, runner.load + 1 - runner.slots) / runner.slots;
-    const crowding = runner.load / runner.slots / runner.share;
-    const wait = (ahead + crowding) * runner.serviceMs;
-    const saved =
+    const queued = Math.max(0, runner.load + 1 - runner.slots) / runner.slots;
+    const utilization = runner.load / runner.slots / runner.share;
+    const waitMs = (queued + utilization) * runner.serviceMs;
+    const savedMs =
       (runner.prefixes.countCached(request.prefixes) *
         TOKENS_PER_PREFIX *
         runner.prefillMs) /
       THOUSAND;
-    const crossing =
+    const crossingMs =
       runner.place === request.place ? 0 : this.options.crossingMs;
-    return wait - saved + crossing;
+    return waitMs - savedMs + crossingMs;
   }
 
   private sampleRunners(runners: readonly RunnerView[]): RunnerView[] {
-    const rest = [...runners];
-    const drawn: RunnerView[] = [];
-    while (drawn.length < this.options.sampleCount && rest.length > 0) {
-      drawn.push(...rest.splice(this.options.random.below(rest.length), 1));
+    const remaining = [...runners];
+    const sampled: RunnerView[] = [];
+    while (sampled.length < this.options.sampleCount && remaining.length > 0) {
+      sampled.push(
+        ...remaining.splice(this.options.random.below(remaining.length), 1),
+      );
     }
-    return drawn;
+    return sampled;
   }
 }
 
 function findLongestPrefixMatch(
   runners: readonly RunnerView[],
-  chain: readonly string[],
+  prefixes: readonly string[],
 ): RunnerView | undefined {
-  if (chain.length === 0) return undefined;
+  if (prefixes.length === 0) return undefined;
   const best = findLeast(
     runners,
-    runner => -runner.prefixes.countCached(chain),
+    runner => -runner.prefixes.countCached(prefixes),
   );
-  return best && best.prefixes.countCached(chain) > 0 ? best : undefined;
+  return best && best.prefixes.countCached(prefixes) > 0 ? best : undefined;
 }
 
 function findLeast<T>(
@@ -87,10 +88,10 @@
   let best: T | undefined;
   let bestValue = Infinity;
   for (const item of items) {
-    const own = value(item);
-    if (own < bestValue) {
+    const itemValue = value(item);
+    if (itemValue < bestValue) {
       best = item;
-      bestValue = own;
+      bestValue = itemValue;
     }
   }
   return best;
--- a/packages/decisions/src/routing/load_balancer.ts
+++ b/packages/decisions/src/routing/load_balancer.ts
@@ -1,7 +1,7 @@
 import type {RouteRequest} from './route_request.js';
 import type {RunnerView} from './runner_view.js';
 
-/** Chooses among runners that are fit and have room. */
+/** Chooses one of the runners that are healthy and have free capacity. */
 export interface LoadBalancer {
   choose(
     runners: readonly RunnerView[],
--- a/packages/decisions/src/routing/resolve_serving_place.ts
+++ b/packages/decisions/src/routing/resolve_serving_place.ts
@@ -1,6 +1,6 @@
 import type {Configuration} from '../configuration/configuration.js';
 
-/** The place that runs a workspace's new work: its home, or the place that took the home over. */
+/** Returns the place that runs a workspace's new requests: its home, or the place that the home is handed over to. */
 export function resolveServingPlace(
   config: Configuration,
   home: string,
--- a/packages/decisions/src/routing/round_robin.ts
+++ b/packages/decisions/src/routing/round_robin.ts
@@ -1,7 +1,7 @@
 import type {LoadBalancer} from './load_balancer.js';
 import type {RunnerView} from './runner_view.js';
 
-/** A baseline: each runner in turn. */
+/** Baseline load balancer: selects the runners in turn. */
 export class RoundRobin implements LoadBalancer {
   private nextIndex = 0;
 
--- a/packages/decisions/src/routing/route_request.ts
+++ b/packages/decisions/src/routing/route_request.ts
@@ -1,7 +1,7 @@
-/** What a choice of runner depends on, besides the runners. */
+/** The properties of a request that the choice of its runner depends on. */
 export interface RouteRequest {
-  /** The place that should run it. */
+  /** The place that should run the request. */
   readonly place: string;
-  /** The prompt's chain of prefixes; see `prefixChain`. */
+  /** Hashes of the prompt's prefixes, longest last; see `hashPromptPrefixes`. */
   readonly prefixes: readonly string[];
 }
--- a/packages/decisions/src/routing/runner_health.ts
+++ b/packages/decisions/src/routing/runner_health.ts
@@ -4,18 +4,18 @@
 interface Options {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Failures in a row after which a runner is ejected. */
+  /** Consecutive failures after which a runner is ejected. */
   readonly failuresMost: number;
-  /** The first ejection's length in ms; it doubles with each further one. */
+  /** Length of the first ejection in ms; it doubles with each consecutive one. */
   readonly ejectMs: number;
   readonly ejectMostMs: number;
-  /** How long a runner that returns takes to get its full share, in ms. */
+  /** Time over which a returning runner ramps up to its full share, in ms. */
   readonly slowStartMs: number;
 }
 
 const MIN_SLOW_START_SHARE = 0.1;
 
-/** Whether a runner is fit for work, from the failures that this host saw. */
+/** Outlier detection for one runner: ejects it after consecutive failures that this host observed. */
 export class RunnerHealth {
   private consecutiveFailures = 0;
   private consecutiveEjections = 0;
@@ -51,7 +51,7 @@
     return this.options.clock.now() < this.ejectedUntil;
   }
 
-  /** The part of its full share that the runner gets, 0.1 to 1, growing after it returned. */
+  /** Returns the fraction of its full share that the runner gets: 0.1 to 1, growing after an ejection (slow start). */
   share(): number {
     const since = this.options.clock.now() - this.returnedAt;
     return Math.min(
--- a/packages/decisions/src/routing/runner_prefix_cache.ts
+++ b/packages/decisions/src/routing/runner_prefix_cache.ts
@@ -3,20 +3,20 @@
 
 interface Options {
   readonly clock: Clock;
-  /** A prefix not heard of for this long is forgotten, in ms. */
+  /** A prefix that was not refreshed for this long is ignored, in ms. */
   readonly maxAgeMs: number;
-  /** How many prefixes are kept; the oldest go first. */
+  /** Maximum number of prefixes; the oldest are evicted first. */
   readonly most: number;
 }
 
-/** What is believed to be in one engine's prefix cache. A hint: a gap in the events forgets everything. */
+/** The presumed content of one engine's prefix cache. Only a hint: a gap in the events clears it. */
 export class RunnerPrefixCache {
   private readonly storedAtByPrefix = new Map<string, number>();
   private lastPosition = 0;
 
   constructor(private readonly options: Options) {}
 
-  /** The position after which the next events are wanted. */
+  /** Position of the last applied event; the next events to fetch come after it. */
   get position(): number {
     return this.lastPosition;
   }
@@ -36,25 +36,25 @@
     }
   }
 
-  /** Forgets everything, such as when the engine was restarted. */
+  /** Clears the cache, for example after the engine was restarted. */
   reset(): void {
     this.storedAtByPrefix.clear();
     this.lastPosition = 0;
   }
 
-  /** How many prefixes of the chain are cached, counted from the shortest. */
-  countCached(chain: readonly string[]): number {
-    const oldest = this.options.clock.now() - this.options.maxAgeMs;
-    for (let length = chain.length; length > 0; length--) {
-      const storedAt = this.storedAtByPrefix.get(chain[length - 1]);
-      if (storedAt !== undefined && storedAt >= oldest) return length;
+  /** Counts the leading prefixes of a prompt that are cached, from the shortest; see `hashPromptPrefixes`. */
+  countCached(prefixes: readonly string[]): number {
+    const minStoredAt = this.options.clock.now() - this.options.maxAgeMs;
+    for (let length = prefixes.length; length > 0; length--) {
+      const storedAt = this.storedAtByPrefix.get(prefixes[length - 1]);
+      if (storedAt !== undefined && storedAt >= minStoredAt) return length;
     }
     return 0;
   }
 
-  /** Notes a prefix that this host has just sent to the engine. */
-  recordSent(chain: readonly string[]): void {
-    chain.forEach(prefix => this.store(prefix));
+  /** Records the prefixes of a prompt that this host just sent to the engine. */
+  recordSent(prefixes: readonly string[]): void {
+    prefixes.forEach(prefix => this.store(prefix));
   }
 
   private store(prefix: string): void {
--- a/packages/decisions/src/routing/runner_view.ts
+++ b/packages/decisions/src/routing/runner_view.ts
@@ -1,22 +1,22 @@
 import type {RunnerPrefixCache} from './runner_prefix_cache.js';
 
-/** What routing knows of one runner at the moment of a choice. */
+/** A runner's state at the time of a routing decision. */
 export interface RunnerView {
   readonly id: string;
   readonly place: string;
-  /** Requests that this host has there now. */
+  /** This host's requests in progress at the runner. */
   readonly inFlight: number;
-  /** Requests that this host may have there. */
+  /** Maximum of this host's concurrent requests at the runner. */
   readonly limit: number;
-  /** Running and waiting requests of all hosts, corrected by what this host sent and ended since. */
+  /** Running and queued requests of all hosts as last reported, corrected by those that this host sent and finished since. */
   readonly load: number;
-  /** How many the engine runs at once. */
+  /** Number of requests that the engine processes concurrently. */
   readonly slots: number;
-  /** Recent time for a whole answer, in ms. */
+  /** Recent duration of a complete answer, in ms. */
   readonly serviceMs: number;
-  /** Recent time to process a thousand prompt tokens, in ms. */
+  /** Recent prefill time of a thousand prompt tokens, in ms. */
   readonly prefillMs: number;
-  /** The part of the full share, 0 to 1, while it starts slowly. */
+  /** Fraction of its full share, 0 to 1; below 1 during slow start. */
   readonly share: number;
   readonly prefixes: RunnerPrefixCache;
 }
