--- a/packages/decisions/src/orders/plan_orders.test.ts
+++ b/packages/decisions/src/orders/plan_orders.test.ts
@@ -13,7 +13,7 @@
   cost: 1,
   strength: 1,
 };
-const rolling: Version = {
+const rollingOut: Version = {
   ...stable,
   id: 'geo@2',
   state: 'rolling-out',
@@ -61,8 +61,11 @@
   }));
 }
 
-void test("a version that rolls out is loaded on its step's part of the runners", () => {
-  const orders = planOrders(configWith(stable, rolling), runners(8, ['geo@1']));
+void test("a version in rollout is loaded on its current step's fraction of the runners", () => {
+  const orders = planOrders(
+    configWith(stable, rollingOut),
+    runners(8, ['geo@1']),
+  );
   assert.equal(orders.length, 4);
   assert.ok(
     orders.every(
@@ -71,28 +74,28 @@
   );
 });
 
-void test('an interrupted roll-out goes on from what the runners report', () => {
+void test('an interrupted rollout continues from the state that the runners report', () => {
   const all = runners(8, ['geo@1']);
-  const first = planOrders(configWith(stable, rolling), all);
+  const first = planOrders(configWith(stable, rollingOut), all);
   const loaded = new Set(first.slice(0, 2).map(order => order.runner));
-  const half = all.map(runner =>
+  const partlyLoaded = all.map(runner =>
     loaded.has(runner.id) ? {...runner, versions: ['geo@1', 'geo@2']} : runner,
   );
-  const rest = planOrders(configWith(stable, rolling), half);
-  assert.equal(rest.length, 2);
-  assert.ok(rest.every(order => !loaded.has(order.runner)));
+  const remaining = planOrders(configWith(stable, rollingOut), partlyLoaded);
+  assert.equal(remaining.length, 2);
+  assert.ok(remaining.every(order => !loaded.has(order.runner)));
 });
 
-void test('a withdrawn version is unloaded, and its room is used for another', () => {
+void test('a withdrawn version is unloaded, and its slot is used for another version', () => {
   const withdrawn: Version = {...stable, id: 'geo@0', state: 'withdrawn'};
-  const full = runners(2, ['geo@0', 'geo@1']);
+  const fullRunners = runners(2, ['geo@0', 'geo@1']);
   const orders = planOrders(
     configWith(stable, withdrawn, {
-      ...rolling,
+      ...rollingOut,
       rollOut: undefined,
       state: 'stable',
     }),
-    full,
+    fullRunners,
   );
   assert.deepEqual(
     orders.map(({version, desired}) => `${desired} ${version}`).sort(),
@@ -100,8 +103,8 @@
   );
 });
 
-void test('any holder plans the same orders from the same reports', () => {
-  const config = configWith(stable, rolling);
+void test('every lease holder plans the same orders from the same reports', () => {
+  const config = configWith(stable, rollingOut);
   const one = planOrders(config, runners(8, ['geo@1']));
   const two = planOrders(config, [...runners(8, ['geo@1'])].reverse());
   const key = (orders: typeof one) =>
--- a/packages/decisions/src/orders/plan_orders.ts
+++ b/packages/decisions/src/orders/plan_orders.ts
@@ -8,26 +8,28 @@
 const MIN_REPLICAS = 2;
 
 /**
- * What the runners of a place still have to load or unload. It follows from the
- * configuration and the runners' own reports alone, so any holder of the lease
- * plans the same, and an interrupted roll-out goes on where the runners are.
+ * Plans which versions the runners of a place still have to load or unload. The plan depends only on
+ * the configuration and the runners' own reports, so every holder of the lease plans the same orders,
+ * and an interrupted rollout continues from the current state of the runners.
  */
 export function planOrders(
   config: Configuration,
   runners: readonly RunnerInventory[],
 ): PlannedOrder[] {
-  const free = new Map(
+  const freeSlots = new Map(
     runners.map(runner => [
       runner.id,
       runner.versionSlots - runner.versions.length,
     ]),
   );
   const unloads = planUnloads(config, runners);
-  unloads.forEach(order => free.set(order.runner, free.get(order.runner)! + 1));
+  unloads.forEach(order =>
+    freeSlots.set(order.runner, freeSlots.get(order.runner)! + 1),
+  );
   const loads = Object.values(config.versions)
     .filter(version => shouldBeLoaded(config, version))
     .sort((a, b) => a.id.localeCompare(b.id))
-    .flatMap(version => planLoads(version, runners, free));
+    .flatMap(version => planLoads(version, runners, freeSlots));
   return [...unloads, ...loads];
 }
 
@@ -49,22 +51,24 @@
 function planLoads(
   version: Version,
   runners: readonly RunnerInventory[],
-  free: Map<string, number>,
+  freeSlots: Map<string, number>,
 ): PlannedOrder[] {
-  const carriers = runners.filter(
+  const replicas = runners.filter(
     runner => runner.versions.includes(version.id) && !runner.drained,
   );
-  const missing = computeTargetReplicas(version, runners) - carriers.length;
-  const able = runners.filter(
+  const missing = computeTargetReplicas(version, runners) - replicas.length;
+  const candidates = runners.filter(
     runner =>
-      !runner.drained && !carriers.includes(runner) && free.get(runner.id)! > 0,
+      !runner.drained &&
+      !replicas.includes(runner) &&
+      freeSlots.get(runner.id)! > 0,
   );
   const chosen = selectByRendezvousHash(
-    able.map(runner => runner.id),
+    candidates.map(runner => runner.id),
     version.id,
     Math.max(0, missing),
   );
-  chosen.forEach(id => free.set(id, free.get(id)! - 1));
+  chosen.forEach(id => freeSlots.set(id, freeSlots.get(id)! - 1));
   return chosen.map(runner => ({
     runner,
     version: version.id,
@@ -72,26 +76,26 @@
   }));
 }
 
-/** As many of the runners as its part of the work asks for, and at least two. */
+/** Computes how many runners should have the version loaded: its fraction of the requests, but at least two. */
 function computeTargetReplicas(
   version: Version,
   runners: readonly RunnerInventory[],
 ): number {
-  const part = version.rollOut
+  const fraction = version.rollOut
     ? version.rollOut.steps[version.rollOut.step]
     : 0;
   return Math.min(
     runners.length,
-    Math.max(MIN_REPLICAS, Math.ceil(part * runners.length)),
+    Math.max(MIN_REPLICAS, Math.ceil(fraction * runners.length)),
   );
 }
 
 function shouldBeLoaded(config: Configuration, version: Version): boolean {
-  const takesWork =
+  const acceptsNewWork =
     version.state === VersionState.STABLE ||
     version.state === VersionState.ROLLING_OUT;
   return (
-    takesWork &&
+    acceptsNewWork &&
     Object.values(config.workspaces).some(workspace =>
       Object.values(workspace.tasks).some(task =>
         task.versions.includes(version.id),
--- a/packages/decisions/src/orders/planned_order.ts
+++ b/packages/decisions/src/orders/planned_order.ts
@@ -1,4 +1,4 @@
-/** An order that is still to be given. */
+/** An order that has not been sent yet. */
 export interface PlannedOrder {
   readonly runner: string;
   readonly version: string;
--- a/packages/decisions/src/orders/runner_inventory.ts
+++ b/packages/decisions/src/orders/runner_inventory.ts
@@ -1,4 +1,4 @@
-/** What one runner has loaded, as it reports itself. */
+/** The versions that a runner has loaded, according to its own report. */
 export interface RunnerInventory {
   readonly id: string;
   readonly versions: readonly string[];
