--- a/packages/decisions/src/membership/create_place_digest.ts
+++ b/packages/decisions/src/membership/create_place_digest.ts
@@ -4,16 +4,16 @@
 import {sumByKey} from './sum_by_key.js';
 import type {VersionRatings} from './version_ratings.js';
 
-/** Adds a place up. Evidence counts hosts that are gone as well: their ratings still stand. */
+/** Creates a place's digest. The ratings include those of dead hosts, which are still valid. */
 export function createPlaceDigest(
   place: string,
-  living: readonly HostState[],
+  alive: readonly HostState[],
   known: readonly HostState[],
 ): PlaceDigest {
   return {
     place,
     ageMs: 0,
-    hosts: living.map(({id, address, incarnation, boot, leaving}) => ({
+    hosts: alive.map(({id, address, incarnation, boot, leaving}) => ({
       id,
       address,
       incarnation,
@@ -21,11 +21,11 @@
       leaving,
     })),
     sums: {
-      offsets: sumByKey(living.map(({offset}) => ({[offset]: 1}))),
-      running: sumByKey(living.map(entry => entry.running)),
-      demand: sumByKey(living.map(entry => entry.demand)),
+      offsets: sumByKey(alive.map(({offset}) => ({[offset]: 1}))),
+      running: sumByKey(alive.map(entry => entry.running)),
+      demand: sumByKey(alive.map(entry => entry.demand)),
       evidence: sumRatingsByVersion(known),
-      suspects: [...new Set(living.flatMap(entry => entry.suspects))],
+      suspects: [...new Set(alive.flatMap(entry => entry.suspects))],
     },
   };
 }
--- a/packages/decisions/src/membership/digest_delta_tracker.test.ts
+++ b/packages/decisions/src/membership/digest_delta_tracker.test.ts
@@ -5,9 +5,9 @@
 import {Membership} from './membership.js';
 import type {PlaceDigest} from './place_digest.js';
 
-const PAUSE_MS = 1_000;
+const INTERVAL_MS = 1_000;
 
-function digestOf(place: string, offset: number): PlaceDigest {
+function createDigest(place: string, offset: number): PlaceDigest {
   return {
     place,
     ageMs: 0,
@@ -30,7 +30,7 @@
   };
 }
 
-function membershipOf(clock: VirtualClock): Membership {
+function createMembership(clock: VirtualClock): Membership {
   return new Membership({
     clock,
     self: 'b-1',
@@ -41,20 +41,23 @@
   });
 }
 
-void test('a part that the receiver has is named only, and one that changed is sent', () => {
+void test('a part that the receiver has is sent by hash only, and a changed part in full', () => {
   const clock = new VirtualClock();
-  const courier = new DigestDeltaTracker({
+  const tracker = new DigestDeltaTracker({
     clock,
-    minIntervalMs: PAUSE_MS,
-    ageOnlyIntervalMs: PAUSE_MS,
+    minIntervalMs: INTERVAL_MS,
+    ageOnlyIntervalMs: INTERVAL_MS,
   });
-  const membership = membershipOf(clock);
-  const [first] = courier.createDeltas('b-1', 'b', [digestOf('a', 1)]);
+  const membership = createMembership(clock);
+  const [first] = tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]);
   assert.ok(first.hosts && first.sums);
   assert.ok(membership.mergeDelta(first));
-  assert.deepEqual(courier.createDeltas('b-1', 'b', [digestOf('a', 2)]), []);
-  clock.advance(PAUSE_MS);
-  const [second] = courier.createDeltas('b-1', 'b', [digestOf('a', 2)]);
+  assert.deepEqual(
+    tracker.createDeltas('b-1', 'b', [createDigest('a', 2)]),
+    [],
+  );
+  clock.advance(INTERVAL_MS);
+  const [second] = tracker.createDeltas('b-1', 'b', [createDigest('a', 2)]);
   assert.equal(second.hosts, undefined);
   assert.ok(second.sums);
   assert.ok(membership.mergeDelta(second));
@@ -62,53 +65,62 @@
   assert.equal(membership.listDigests()[0].hosts.length, 1);
 });
 
-void test('a receiver that lacks a part says so, and gets it after the sender forgot the place', () => {
+void test('a receiver that lacks a part reports it, and gets it after the sender forgets the place', () => {
   const clock = new VirtualClock();
-  const courier = new DigestDeltaTracker({
+  const tracker = new DigestDeltaTracker({
     clock,
-    minIntervalMs: PAUSE_MS,
-    ageOnlyIntervalMs: PAUSE_MS,
+    minIntervalMs: INTERVAL_MS,
+    ageOnlyIntervalMs: INTERVAL_MS,
   });
-  courier.createDeltas('b-1', 'b', [digestOf('a', 1)]);
-  clock.advance(PAUSE_MS);
-  const fresh = membershipOf(clock);
-  const [named] = courier.createDeltas('b-1', 'b', [digestOf('a', 1)]);
-  assert.equal(fresh.mergeDelta(named), false);
+  tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]);
+  clock.advance(INTERVAL_MS);
+  const fresh = createMembership(clock);
+  const [hashOnly] = tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]);
+  assert.equal(fresh.mergeDelta(hashOnly), false);
   assert.deepEqual(fresh.listDigests(), []);
-  courier.forgetPlace('b-1', 'a');
-  const [whole] = courier.createDeltas('b-1', 'b', [digestOf('a', 1)]);
+  tracker.forgetPlace('b-1', 'a');
+  const [whole] = tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]);
   assert.ok(fresh.mergeDelta(whole));
 });
 
-void test('a digest that differs in its age only is passed on less often', () => {
+void test('a digest of which only the age differs is sent less often', () => {
   const clock = new VirtualClock();
-  const courier = new DigestDeltaTracker({
+  const tracker = new DigestDeltaTracker({
     clock,
-    minIntervalMs: PAUSE_MS,
-    ageOnlyIntervalMs: 5 * PAUSE_MS,
+    minIntervalMs: INTERVAL_MS,
+    ageOnlyIntervalMs: 5 * INTERVAL_MS,
   });
-  courier.createDeltas('b-1', 'b', [digestOf('a', 1)]);
-  clock.advance(2 * PAUSE_MS);
-  assert.equal(courier.createDeltas('b-1', 'b', [digestOf('a', 1)]).length, 0);
-  assert.equal(courier.createDeltas('b-1', 'b', [digestOf('a', 2)]).length, 1);
-  clock.advance(5 * PAUSE_MS);
-  assert.equal(courier.createDeltas('b-1', 'b', [digestOf('a', 2)]).length, 1);
+  tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]);
+  clock.advance(2 * INTERVAL_MS);
+  assert.equal(
+    tracker.createDeltas('b-1', 'b', [createDigest('a', 1)]).length,
+    0,
+  );
+  assert.equal(
+    tracker.createDeltas('b-1', 'b', [createDigest('a', 2)]).length,
+    1,
+  );
+  clock.advance(5 * INTERVAL_MS);
+  assert.equal(
+    tracker.createDeltas('b-1', 'b', [createDigest('a', 2)]).length,
+    1,
+  );
 });
 
-void test('older news never replace younger ones, and a silent place counts as cut off', () => {
+void test('an older digest never replaces a newer one, and a silent place counts as unreachable', () => {
   const clock = new VirtualClock();
   clock.advance(10_000);
-  const membership = membershipOf(clock);
-  const news = (offset: number, ageMs: number) => ({
+  const membership = createMembership(clock);
+  const createDelta = (offset: number, ageMs: number) => ({
     ...new DigestDeltaTracker({
       clock,
       minIntervalMs: 0,
       ageOnlyIntervalMs: 0,
-    }).createDeltas('b-1', 'b', [digestOf('a', offset)])[0],
+    }).createDeltas('b-1', 'b', [createDigest('a', offset)])[0],
     ageMs,
   });
-  membership.mergeDelta(news(2, 0));
-  membership.mergeDelta(news(1, 3_000));
+  membership.mergeDelta(createDelta(2, 0));
+  membership.mergeDelta(createDelta(1, 3_000));
   assert.deepEqual(membership.listDigests()[0].sums.offsets, {2: 1});
   clock.advance(6_000);
   assert.deepEqual(membership.listDigests(), []);
--- a/packages/decisions/src/membership/digest_delta_tracker.ts
+++ b/packages/decisions/src/membership/digest_delta_tracker.ts
@@ -5,26 +5,26 @@
 
 interface Options {
   readonly clock: Clock;
-  /** A digest that is younger than the last one passed on by less than this is not passed on again, in ms. */
+  /** A digest is sent to a peer only when it is newer than the last one sent there by at least this, in ms. */
   readonly minIntervalMs: number;
-  /** The same for a digest that differs in its age only. */
+  /** The same for a digest of which only the age differs. */
   readonly ageOnlyIntervalMs: number;
 }
 
 interface SentDigest {
   readonly hostsHash: string;
   readonly sumsHash: string;
-  /** When the digest was made, on the local clock. */
+  /** Local monotonic time at which the digest was created, in ms. */
   readonly madeAt: number;
 }
 
-/** Remembers what each peer has of each place, and sends only what is new to it. */
+/** Tracks which digests each peer has, so that only the parts that changed are sent to it. */
 export class DigestDeltaTracker {
   private readonly sentByPeer = new Map<string, Map<string, SentDigest>>();
 
   constructor(private readonly options: Options) {}
 
-  /** The news for a receiver: of places other than its own, and only when it is time. */
+  /** Creates the deltas for a receiver: for places other than its own, whose digests are due. */
   createDeltas(
     receiver: string,
     receiverPlace: string | undefined,
@@ -33,12 +33,12 @@
     return digests
       .filter(digest => digest.place !== receiverPlace)
       .map(digest => this.createDelta(receiver, digest))
-      .filter(news => news !== undefined);
+      .filter(delta => delta !== undefined);
   }
 
-  /** The peer sent this news itself, so it has it. */
-  recordReceived(sender: string, news: PlaceDigestDelta): void {
-    const {place, hostsHash, sumsHash, ageMs} = news;
+  /** Records a delta that the peer sent itself, so that it is not sent back. */
+  recordReceived(sender: string, delta: PlaceDigestDelta): void {
+    const {place, hostsHash, sumsHash, ageMs} = delta;
     this.getSentDigests(sender).set(place, {
       hostsHash,
       sumsHash,
@@ -46,12 +46,12 @@
     });
   }
 
-  /** What was sent did not arrive, or the peer began anew: it is taken to have nothing. */
+  /** Assumes that the peer has no digests, since a message to it was lost or it was restarted. */
   forgetPeer(peer: string): void {
     this.sentByPeer.delete(peer);
   }
 
-  /** The peer lacks the parts of a place that it only got by name. */
+  /** Assumes that the peer has no digest of a place, since it lacks parts that were sent to it by hash only. */
   forgetPlace(peer: string, place: string): void {
     this.getSentDigests(peer).delete(place);
   }
@@ -60,15 +60,19 @@
     receiver: string,
     digest: PlaceDigest,
   ): PlaceDigestDelta | undefined {
-    const {clock, minIntervalMs: pauseMs} = this.options;
+    const {clock, minIntervalMs} = this.options;
     const {place, ageMs, hosts, sums} = digest;
     const madeAt = clock.now() - ageMs;
-    const last = this.getSentDigests(receiver).get(place);
-    if (last && madeAt - last.madeAt < pauseMs) return undefined;
+    const lastSent = this.getSentDigests(receiver).get(place);
+    if (lastSent && madeAt - lastSent.madeAt < minIntervalMs) return undefined;
     const hostsHash = hashDigestPart(hosts);
     const sumsHash = hashDigestPart(sums);
-    const isSame = last?.hostsHash === hostsHash && last.sumsHash === sumsHash;
-    if (isSame && madeAt - last.madeAt < this.options.ageOnlyIntervalMs)
+    const isUnchanged =
+      lastSent?.hostsHash === hostsHash && lastSent.sumsHash === sumsHash;
+    if (
+      isUnchanged &&
+      madeAt - lastSent.madeAt < this.options.ageOnlyIntervalMs
+    )
       return undefined;
     this.getSentDigests(receiver).set(place, {hostsHash, sumsHash, madeAt});
     return {
@@ -76,17 +80,17 @@
       ageMs: Math.max(0, Math.round(ageMs)),
       hostsHash,
       sumsHash,
-      ...(last?.hostsHash === hostsHash ? {} : {hosts: [...hosts]}),
-      ...(last?.sumsHash === sumsHash ? {} : {sums}),
+      ...(lastSent?.hostsHash === hostsHash ? {} : {hosts: [...hosts]}),
+      ...(lastSent?.sumsHash === sumsHash ? {} : {sums}),
     };
   }
 
   private getSentDigests(peer: string): Map<string, SentDigest> {
-    let places = this.sentByPeer.get(peer);
-    if (!places) {
-      places = new Map();
-      this.sentByPeer.set(peer, places);
+    let digestsByPlace = this.sentByPeer.get(peer);
+    if (!digestsByPlace) {
+      digestsByPlace = new Map();
+      this.sentByPeer.set(peer, digestsByPlace);
     }
-    return places;
+    return digestsByPlace;
   }
 }
--- a/packages/decisions/src/membership/hash_digest_part.ts
+++ b/packages/decisions/src/membership/hash_digest_part.ts
@@ -2,7 +2,7 @@
 
 const HASH_LENGTH = 8;
 
-/** A short name for a part of a digest, equal for equal parts. */
+/** Computes a short hash of a part of a digest; equal parts have equal hashes. */
 export function hashDigestPart(part: unknown): string {
   return createHash('md5')
     .update(JSON.stringify(part))
--- a/packages/decisions/src/membership/host_summary.ts
+++ b/packages/decisions/src/membership/host_summary.ts
@@ -8,7 +8,7 @@
   leaving: z.boolean(),
 });
 
-/** What other places need to know of a host. It changes only when the host does. */
+/** The part of a host's state that other places need. It changes only when the host restarts, moves or leaves. */
 type HostSummary = z.output<typeof hostSummary>;
 const HostSummary = hostSummary;
 
--- a/packages/decisions/src/membership/log_freshness.ts
+++ b/packages/decisions/src/membership/log_freshness.ts
@@ -1,25 +1,25 @@
 import type {Clock} from '@bayspool/kernel';
 
 /**
- * How old the knowledge of the log's end is. It is passed on as an age, so that
- * hosts need no common clock.
+ * The time since the end of the log was last read. Hosts exchange it as an age, so that they
+ * need no synchronized clocks.
  */
 export class LogFreshness {
   private endSeenAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The log was read to its end by a request that was sent at `sentAt`. */
+  /** Records that a request sent at `sentAt` read the log to its end. */
   recordEndRead(sentAt: number): void {
     this.endSeenAt = Math.max(this.endSeenAt, sentAt);
   }
 
-  /** A peer at the same offset said that it saw the end `ageMs` before it answered a message sent at `sentAt`. */
+  /** Records that a peer at the same offset, in response to a message sent at `sentAt`, reported a freshness of `ageMs`. */
   recordPeerAge(ageMs: number, sentAt: number): void {
     this.endSeenAt = Math.max(this.endSeenAt, sentAt - ageMs);
   }
 
-  /** Ms since somebody is known to have read to the log's end; infinite before the first time. */
+  /** Returns the time in ms since any host is known to have read the log to its end; infinite before the first read. */
   computeAgeMs(): number {
     return this.clock.now() - this.endSeenAt;
   }
--- a/packages/decisions/src/membership/membership.ts
+++ b/packages/decisions/src/membership/membership.ts
@@ -13,17 +13,17 @@
   readonly clock: Clock;
   readonly self: string;
   readonly place: string;
-  /** After this time without a message a host of the own place is taken to be gone, in ms. */
+  /** Time without a message after which a host of the local place counts as dead, in ms. */
   readonly suspectAfterMs: number;
-  /** After this time without a digest another place is taken to be cut off, in ms. */
+  /** Time without a digest after which another place counts as unreachable, in ms. */
   readonly placeSuspectAfterMs: number;
-  /** After this time a host that is gone is forgotten, in ms. */
+  /** Time without a message after which a host is removed, in ms. */
   readonly forgetAfterMs: number;
 }
 
 interface KnownHost {
   entry: HostState;
-  /** Local monotonic time of the last message from the host itself. */
+  /** Local monotonic time of the last message from the host, or of the last newer state relayed by a peer. */
   heardAt: number;
 }
 
@@ -31,16 +31,16 @@
   readonly digest: PlaceDigest;
   readonly hostsHash: string;
   readonly sumsHash: string;
-  /** Local monotonic time at which the digest was made, as far as is known. */
+  /** Local monotonic time at which the digest was created, estimated from its age. */
   readonly madeAt: number;
 }
 
 const RELAYS_PER_PLACE = 2;
 
 /**
- * Who is there: every host of the own place in full, other places as digests.
- * Entries are merged by incarnation and sequence and digests by age, so late,
- * doubled and crossed messages do no harm.
+ * The gossip membership: full states of the hosts of the local place, digests of other places. States
+ * are merged by incarnation and sequence and digests by age, so delayed, duplicated and reordered
+ * messages are harmless.
  */
 export class Membership {
   private readonly hostsById = new Map<string, KnownHost>();
@@ -48,7 +48,7 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Takes an entry of the own place. `direct` says that the host itself sent it just now. */
+  /** Merges a state of a host of the local place. `direct` tells that the host itself just sent it. */
   mergeState(entry: HostState, direct: boolean): void {
     if (entry.place !== this.options.place) return;
     const now = this.options.clock.now();
@@ -65,18 +65,18 @@
     if (direct || order > 0) existing.heardAt = now;
   }
 
-  /** Takes news of another place, unless younger news are known; false when a part that it names is missing here. */
-  mergeDelta(news: PlaceDigestDelta): boolean {
-    const {place, ageMs, hostsHash, sumsHash} = news;
+  /** Merges another place's digest unless a newer one is known; false when a part that was sent by hash is missing here. */
+  mergeDelta(delta: PlaceDigestDelta): boolean {
+    const {place, ageMs, hostsHash, sumsHash} = delta;
     if (place === this.options.place) return true;
     const previous = this.digestsByPlace.get(place);
     const madeAt = this.options.clock.now() - ageMs;
     if (previous && previous.madeAt >= madeAt) return true;
     const hosts =
-      news.hosts ??
+      delta.hosts ??
       (previous?.hostsHash === hostsHash ? previous.digest.hosts : undefined);
     const sums =
-      news.sums ??
+      delta.sums ??
       (previous?.sumsHash === sumsHash ? previous.digest.sums : undefined);
     if (!hosts || !sums) return false;
     this.digestsByPlace.set(place, {
@@ -94,34 +94,34 @@
 
   isAlive(id: string): boolean {
     if (id === this.options.self) return true;
-    const member = this.hostsById.get(id);
+    const host = this.hostsById.get(id);
     return (
-      member !== undefined &&
-      this.options.clock.now() - member.heardAt <= this.options.suspectAfterMs
+      host !== undefined &&
+      this.options.clock.now() - host.heardAt <= this.options.suspectAfterMs
     );
   }
 
-  /** The living hosts of the own place, this one among them, in order of their ids. */
+  /** Lists the live hosts of the local place including this one, sorted by id. */
   listAlive(): HostState[] {
     return this.listKnown().filter(entry => this.isAlive(entry.id));
   }
 
-  /** The hosts of the own place that are not yet forgotten, living or gone. */
+  /** Lists the hosts of the local place that were not removed yet, alive or dead. */
   listKnown(): HostState[] {
     this.expireHosts();
     return [...this.hostsById.values()]
-      .map(member => member.entry)
+      .map(host => host.entry)
       .sort((a, b) => a.id.localeCompare(b.id));
   }
 
-  /** Living hosts of the own place other than this one that are not leaving. */
+  /** Lists the live hosts of the local place that are not leaving, except this one. */
   listAvailablePeers(): HostState[] {
     return this.listAlive().filter(
       entry => entry.id !== this.options.self && !entry.leaving,
     );
   }
 
-  /** Digests of the other places that are not cut off, with their present age. */
+  /** Lists the digests of the other places that are reachable, with their current age. */
   listDigests(): PlaceDigest[] {
     const now = this.options.clock.now();
     return [...this.digestsByPlace.values()]
@@ -129,7 +129,7 @@
       .filter(digest => digest.ageMs <= this.options.placeSuspectAfterMs);
   }
 
-  /** Every place that was ever heard of, with the age of its last digest in ms. */
+  /** Returns the age of the last digest of every place that was ever known, in ms. */
   computePlaceAges(): Record<string, number> {
     const now = this.options.clock.now();
     const ages = [...this.digestsByPlace].map(
@@ -138,7 +138,7 @@
     return Object.fromEntries([[this.options.place, 0], ...ages]);
   }
 
-  /** The digest of the own place. */
+  /** Creates the digest of the local place. */
   createOwnDigest(): PlaceDigest {
     return createPlaceDigest(
       this.options.place,
@@ -147,14 +147,14 @@
     );
   }
 
-  /** All living hosts of all places. */
+  /** Lists the live hosts of all reachable places. */
   listAllHosts(): HostSummary[] {
     return [this.createOwnDigest(), ...this.listDigests()].flatMap(
       digest => digest.hosts,
     );
   }
 
-  /** Addresses of hosts with a later configuration; of other places, all hosts where one has it. */
+  /** Lists the addresses of hosts with a later configuration; in other places, of all hosts when at least one has it. */
   listAddressesAhead(offset: number): string[] {
     const inside = this.listAlive().filter(entry => entry.offset > offset);
     const outside = this.listDigests()
@@ -163,7 +163,7 @@
     return [...inside, ...outside].map(host => host.address);
   }
 
-  /** A version's ratings over all hosts. */
+  /** Sums a version's ratings over all hosts. */
   sumRatings(version: string): VersionRatings | undefined {
     const all = [this.createOwnDigest(), ...this.listDigests()].map(
       digest => digest.sums.evidence[version],
@@ -171,7 +171,7 @@
     return sumVersionRatings(all.filter(counts => counts !== undefined));
   }
 
-  /** Versions that some host holds suspect. */
+  /** Collects the versions that at least one host suspects. */
   collectSuspects(): Set<string> {
     const own = this.listAlive().flatMap(entry => entry.suspects);
     return new Set([
@@ -180,7 +180,7 @@
     ]);
   }
 
-  /** Recent requests a second for a workspace, over all hosts. */
+  /** Sums the recent requests per second for a workspace over all hosts. */
   sumDemand(workspace: string): number {
     return [this.createOwnDigest(), ...this.listDigests()].reduce(
       (sum, digest) => sum + (digest.sums.demand[workspace] ?? 0),
@@ -188,7 +188,7 @@
     );
   }
 
-  /** Whether this host speaks for its place: by hash over the living hosts, without an election. */
+  /** Whether this host exchanges digests with other places for its own. Relays are selected by hash from the live hosts, without an election. */
   isRelay(): boolean {
     const ids = this.listAlive().map(entry => entry.id);
     return selectByRendezvousHash(
@@ -198,7 +198,7 @@
     ).includes(this.options.self);
   }
 
-  /** The relays of another place, as far as its last digest tells. */
+  /** Lists the relays of another place, according to its last digest. */
   listRelays(place: string): HostSummary[] {
     const hosts = this.digestsByPlace.get(place)?.digest.hosts ?? [];
     const ids = selectByRendezvousHash(
@@ -209,7 +209,7 @@
     return hosts.filter(host => ids.includes(host.id));
   }
 
-  /** The other place that a host was last heard to be in. */
+  /** Finds the other place whose last digest has a host. */
   findPlace(id: string): string | undefined {
     const found = [...this.digestsByPlace.values()].find(({digest}) =>
       digest.hosts.some(host => host.id === id),
@@ -217,15 +217,15 @@
     return found?.digest.place;
   }
 
-  /** The other places that were ever heard of. */
+  /** Lists the other places that were ever known. */
   listOtherPlaces(): string[] {
     return [...this.digestsByPlace.keys()];
   }
 
   private expireHosts(): void {
-    const oldest = this.options.clock.now() - this.options.forgetAfterMs;
-    for (const [id, member] of this.hostsById) {
-      if (id !== this.options.self && member.heardAt < oldest)
+    const minHeardAt = this.options.clock.now() - this.options.forgetAfterMs;
+    for (const [id, host] of this.hostsById) {
+      if (id !== this.options.self && host.heardAt < minHeardAt)
         this.hostsById.delete(id);
     }
   }
--- a/packages/decisions/src/membership/select_by_rendezvous_hash.ts
+++ b/packages/decisions/src/membership/select_by_rendezvous_hash.ts
@@ -1,6 +1,6 @@
 import {createHash} from 'node:crypto';
 
-/** The `count` members that come first for `key` by highest random weight; all callers with the same members agree. */
+/** Selects the `count` members with the highest random weight for `key`; all callers with the same members agree. */
 export function selectByRendezvousHash(
   members: readonly string[],
   key: string,
@@ -10,7 +10,7 @@
     .map(member => ({member, weight: computeWeight(member, key)}))
     .sort((a, b) => b.weight - a.weight || a.member.localeCompare(b.member))
     .slice(0, count)
-    .map(entry => entry.member);
+    .map(weighted => weighted.member);
 }
 
 function computeWeight(member: string, key: string): number {
--- a/packages/decisions/src/membership/sum_by_key.ts
+++ b/packages/decisions/src/membership/sum_by_key.ts
@@ -1,4 +1,4 @@
-/** Adds up numbers by key. */
+/** Sums numbers by key. */
 export function sumByKey(
   records: readonly Readonly<Record<string, number>>[],
 ): Record<string, number> {
--- a/packages/decisions/src/membership/sum_version_ratings.ts
+++ b/packages/decisions/src/membership/sum_version_ratings.ts
@@ -1,6 +1,6 @@
 import type {VersionRatings} from './version_ratings.js';
 
-/** Adds up counts of the same version. Where stages differ, the one that more holders report counts; ties go to the later name. */
+/** Sums the ratings of a version. When stages differ, only the stage that most hosts report counts; ties go to the name that sorts last. */
 export function sumVersionRatings(
   all: readonly VersionRatings[],
 ): VersionRatings | undefined {
@@ -19,9 +19,10 @@
 function findMostReportedStage(
   all: readonly VersionRatings[],
 ): string | undefined {
-  const holders = new Map<string, number>();
-  for (const {stage} of all) holders.set(stage, (holders.get(stage) ?? 0) + 1);
-  const ranked = [...holders].sort(
+  const hostsByStage = new Map<string, number>();
+  for (const {stage} of all)
+    hostsByStage.set(stage, (hostsByStage.get(stage) ?? 0) + 1);
+  const ranked = [...hostsByStage].sort(
     (a, b) => b[1] - a[1] || b[0].localeCompare(a[0]),
   );
   return ranked[0]?.[0];
