--- a/packages/decisions/src/rollout/drift_detector.ts
+++ b/packages/decisions/src/rollout/drift_detector.ts
@@ -1,7 +1,7 @@
 interface Options {
-  /** The score at which the version counts as turned bad. */
+  /** Cumulative sum at which the version counts as degraded. */
   readonly threshold?: number;
-  /** What is added to the acceptable rate to make the bad one. */
+  /** Added to the acceptable rate of bad answers to get the bad rate. */
   readonly margin?: number;
 }
 
@@ -11,8 +11,8 @@
 const MAX_RATE = 0.98;
 
 /**
- * Page's cumulative sum over ratings in the order in which they come: finds the
- * moment at which a version that was good turns bad, and forgets the good past.
+ * Page's CUSUM test over ratings in order of arrival: detects when a version that was good degrades.
+ * Earlier good answers don't offset later bad ones.
  */
 export class DriftDetector {
   private cumulativeSum = 0;
@@ -24,7 +24,7 @@
     this.margin = options.margin ?? MARGIN;
   }
 
-  /** Takes a group of ratings; true when the version turned bad. */
+  /** Adds a batch of ratings; returns true when the version has degraded. */
   addRatings(good: number, bad: number, badRate: number): boolean {
     const p0 = Math.min(Math.max(badRate, MIN_RATE), MAX_RATE - this.margin);
     const p1 = p0 + this.margin;
--- a/packages/decisions/src/rollout/gate_verdict.ts
+++ b/packages/decisions/src/rollout/gate_verdict.ts
@@ -1,4 +1,4 @@
-/** What the evidence says. */
+/** The decision of a gate: pass the version, halt it, or wait for more ratings. */
 const GateVerdict = {
   PASS: 'pass',
   HALT: 'halt',
--- a/packages/decisions/src/rollout/rating_count_gate.ts
+++ b/packages/decisions/src/rollout/rating_count_gate.ts
@@ -3,7 +3,7 @@
 
 const RATINGS_PER_STEP = 50;
 
-/** A baseline that watches nothing: each step passes after a number of ratings, whatever they say. */
+/** Baseline gate: passes each step after a number of ratings, regardless of their results. */
 export class RatingCountGate implements VersionGate {
   evaluate(evidence: {good: number; bad: number}): GateVerdict {
     return evidence.good + evidence.bad >= RATINGS_PER_STEP
--- a/packages/decisions/src/rollout/sequential_gate.ts
+++ b/packages/decisions/src/rollout/sequential_gate.ts
@@ -3,11 +3,11 @@
 import {GateVerdict} from './gate_verdict.js';
 
 interface Options {
-  /** The chance to halt a good version, over one stage. */
+  /** Probability of halting a good version during one stage. */
   readonly falseHaltProbability?: number;
-  /** The chance to pass a bad one. */
+  /** Probability of passing a bad version. */
   readonly falsePassProbability?: number;
-  /** How much more bad answers make a version bad: added to the acceptable rate. */
+  /** Added to the acceptable rate of bad answers to get the bad rate. */
   readonly margin?: number;
 }
 
@@ -20,7 +20,7 @@
 /**
  * Wald's sequential probability ratio test between an acceptable rate of bad
  * answers p0 and a bad one p1 = p0 + margin. It halts at ln((1-b)/a) and passes
- * at ln(b/(1-a)), with a the chance of a false halt and b of a false pass.
+ * at ln(b/(1-a)), where a is the probability of a false halt and b that of a false pass.
  */
 export class SequentialGate implements VersionGate {
   private readonly haltThreshold: number;
@@ -36,13 +36,13 @@
   }
 
   evaluate(evidence: RatingCounts, badRate: number): GateVerdict {
-    const ratio = this.computeLogRatio(evidence, badRate);
-    if (ratio >= this.haltThreshold) return GateVerdict.HALT;
-    if (ratio <= this.passThreshold) return GateVerdict.PASS;
+    const logRatio = this.computeLogRatio(evidence, badRate);
+    if (logRatio >= this.haltThreshold) return GateVerdict.HALT;
+    if (logRatio <= this.passThreshold) return GateVerdict.PASS;
     return GateVerdict.WAIT;
   }
 
-  /** The log likelihood ratio of "bad" against "acceptable". */
+  /** Computes the log likelihood ratio of "bad" to "acceptable". */
   computeLogRatio(evidence: RatingCounts, badRate: number): number {
     const p0 = Math.min(Math.max(badRate, MIN_RATE), MAX_RATE - this.margin);
     const p1 = p0 + this.margin;
--- a/packages/decisions/src/rollout/version_gate.test.ts
+++ b/packages/decisions/src/rollout/version_gate.test.ts
@@ -8,17 +8,17 @@
 
 const SEED = 7;
 const TRIALS = 2_000;
-const RATINGS_MOST = 5_000;
+const MAX_RATINGS = 5_000;
 
-/** Rates answers one by one until the gate decides. */
-function decide(
+/** Adds ratings one by one until the gate decides. */
+function runTrial(
   badRate: number,
   random: SeededRandom,
 ): {verdict: GateVerdict; bad: number} {
   const gate = new SequentialGate();
   let good = 0;
   let bad = 0;
-  for (let count = 0; count < RATINGS_MOST; count++) {
+  for (let count = 0; count < MAX_RATINGS; count++) {
     if (random.next() < badRate) bad++;
     else good++;
     const verdict = gate.evaluate({good, bad, open: 0}, 0.1);
@@ -27,19 +27,19 @@
   return {verdict: GateVerdict.WAIT, bad};
 }
 
-void test('under 1 in 100 good versions is halted, and a bad one is halted after few bad answers', () => {
+void test('fewer than 1 in 100 good versions are halted, and a bad version is halted after few bad answers', () => {
   const random = new SeededRandom(SEED);
-  const good = Array.from({length: TRIALS}, () => decide(0.1, random));
+  const good = Array.from({length: TRIALS}, () => runTrial(0.1, random));
   const halted = good.filter(({verdict}) => verdict === GateVerdict.HALT);
   assert.ok(halted.length < TRIALS / 100, `${halted.length} of ${TRIALS}`);
-  const bad = Array.from({length: TRIALS}, () => decide(0.5, random));
+  const bad = Array.from({length: TRIALS}, () => runTrial(0.5, random));
   const passed = bad.filter(({verdict}) => verdict === GateVerdict.PASS);
   assert.ok(passed.length < TRIALS / 100, `${passed.length} of ${TRIALS}`);
   const mean = bad.reduce((sum, trial) => sum + trial.bad, 0) / TRIALS;
   assert.ok(mean < 20, `${mean} bad answers on average`);
 });
 
-void test('a stable version that turns bad is found, and a good one is left alone for long', () => {
+void test('a degraded stable version is detected, and a good one raises no false alarm', () => {
   const random = new SeededRandom(SEED);
   const detector = new DriftDetector();
   const alarms = Array.from({length: 10_000}, () => {
@@ -55,14 +55,14 @@
   assert.ok(count < 60, `${count} answers`);
 });
 
-void test('the parts of the exposure budget add up to it exactly, with more hosts than budget too', () => {
+void test('the quotas of the exposure budget sum to it exactly, also with more hosts than budget', () => {
   for (const count of [1, 7, 49, 340]) {
     const hosts = Array.from({length: count}, (_, index) => `host-${index}`);
-    const parts = hosts.map(self =>
+    const quotas = hosts.map(self =>
       computeExposureQuota({exposure: 50, version: 'geo@2', self, hosts}),
     );
     assert.equal(
-      parts.reduce((sum, part) => sum + part, 0),
+      quotas.reduce((sum, quota) => sum + quota, 0),
       50,
     );
   }
--- a/packages/decisions/src/rollout/version_gate.ts
+++ b/packages/decisions/src/rollout/version_gate.ts
@@ -1,8 +1,8 @@
 import type {RatingCounts} from './rating_counts.js';
 import type {GateVerdict} from './gate_verdict.js';
 
-/** Judges a version on pooled evidence. */
+/** Decides on a version from the ratings of all hosts. */
 export interface VersionGate {
-  /** @param badRate The part of bad answers that is acceptable. */
+  /** @param badRate Acceptable fraction of bad answers. */
   evaluate(evidence: RatingCounts, badRate: number): GateVerdict;
 }
