--- a/packages/decisions/src/sealing/parse_seal_keys.ts
+++ b/packages/decisions/src/sealing/parse_seal_keys.ts
@@ -4,7 +4,7 @@
 const SEPARATOR = ':';
 const MIN_SECRET_LENGTH = 8;
 
-/** Reads `k2:secret,k1:older-secret`. The first key seals, all of them open. */
+/** Parses `k2:secret,k1:older-secret`. The first key is used for sealing, all of them for opening. */
 export function parseSealKeys(text: string): SealKey[] {
   return text.split(',').map(item => {
     const [id, ...rest] = item.trim().split(SEPARATOR);
--- a/packages/decisions/src/sealing/sealer.ts
+++ b/packages/decisions/src/sealing/sealer.ts
@@ -2,23 +2,23 @@
 import {Left, Right, type Either} from 'purify-ts';
 import type {SealKey} from './seal_key.js';
 
-/** Why a sealed text was refused. */
+/** Why a sealed text was rejected. */
 type OpenError = 'malformed' | 'unknown key' | 'forged';
 
 interface Options {
-  /** The first key seals; all of them open, so keys can be rotated. */
+  /** The first key is used for sealing, all of them for opening, so that keys can be rotated. */
   readonly keys: readonly SealKey[];
-  /** Separates uses of the same keys: a ticket can never pass for a session. */
+  /** Separates uses of the same keys: a ticket is never accepted as a session. */
   readonly purpose: string;
 }
 
 const PART_COUNT = 3;
 
-/** Authenticates small documents and messages with HMAC-SHA-256. Nothing is encrypted. */
+/** Authenticates small documents and messages with HMAC-SHA-256. It does not encrypt them. */
 export class Sealer {
   constructor(private readonly options: Options) {}
 
-  /** Gives `payload.keyId.mac`, each base64url. */
+  /** Returns `payload.keyId.mac`, each base64url. */
   seal(payload: unknown): string {
     const body = Buffer.from(JSON.stringify(payload)).toString('base64url');
     return `${body}.${this.sign(body)}`;
@@ -33,7 +33,7 @@
     );
   }
 
-  /** Gives `keyId.mac` for a text that travels beside it. */
+  /** Returns `keyId.mac` for a text that is sent along with it. */
   sign(text: string): string {
     const key = this.options.keys[0];
     return `${Buffer.from(key.id).toString('base64url')}.${this.computeMac(text, key)}`;
