--- a/packages/decisions/src/billing/bill.ts
+++ b/packages/decisions/src/billing/bill.ts
@@ -10,17 +10,17 @@
 
 const bill = z.strictObject({
   type: z.literal('bill'),
-  /** The request's id or the ticket's: readers drop repeats by it. */
+  /** The request's id or the ticket's; readers deduplicate bills by it. */
   id: z.string().max(64),
   workspace: z.string(),
   task: z.string(),
-  /** What ran, over all retries and legs of a cascade. */
+  /** Everything that ran, over all retries and legs of a cascade. */
   legs: z.array(leg),
-  /** Whether the caller got the whole answer. */
+  /** Whether the caller received the complete answer. */
   whole: z.boolean(),
 });
 
-/** The one bill of a request. */
+/** The bill of a request; there is exactly one. */
 type Bill = z.output<typeof bill>;
 const Bill = bill;
 
--- a/packages/decisions/src/billing/bill_outbox.ts
+++ b/packages/decisions/src/billing/bill_outbox.ts
@@ -1,7 +1,7 @@
 import type {Bill} from './bill.js';
 
 interface Options {
-  /** How many bills may wait for the log, own and held together. */
+  /** Maximum number of unconfirmed bills, own and held ones together. */
   readonly maxBills: number;
 }
 
@@ -9,18 +9,18 @@
   readonly bill: Bill;
   readonly owner: string;
   readonly boot: string;
-  /** Monotonic ms. */
+  /** Monotonic time in ms. */
   readonly heldAt: number;
 }
 
-/** Bills that are not yet known to be in the log: this host's own, and those it holds for peers. */
+/** Bills that are not confirmed to be in the log yet: this host's own, and those that it holds for peers. */
 export class BillOutbox {
   private readonly own = new Map<string, Bill>();
   private readonly held = new Map<string, HeldBill>();
 
   constructor(private readonly options: Options) {}
 
-  /** False when the ledger is full, so the work must not be started. */
+  /** False when the outbox is full, so that a request must not be started. */
   hasCapacity(): boolean {
     return this.own.size + this.held.size < this.options.maxBills;
   }
@@ -29,7 +29,7 @@
     this.own.set(bill.id, bill);
   }
 
-  /** Keeps a peer's bill; false when there is no room for it. */
+  /** Stores a peer's bill; false when there is no capacity for it. */
   holdForPeer(
     bill: Bill,
     owner: string,
@@ -41,7 +41,7 @@
     return true;
   }
 
-  /** The bills were read back from the log. */
+  /** Removes bills that were read back from the log. */
   confirm(ids: readonly string[]): void {
     for (const id of ids) {
       this.own.delete(id);
@@ -49,17 +49,17 @@
     }
   }
 
-  /** Whether an own bill is still to be settled. */
+  /** Whether an own bill is not confirmed yet. */
   isPending(id: string): boolean {
     return this.own.has(id);
   }
 
-  /** Own bills that are still to be settled, oldest first. */
+  /** Lists own bills that are not confirmed yet, oldest first. */
   listPending(): Bill[] {
     return [...this.own.values()];
   }
 
-  /** Makes the bills of a process that is gone this host's own. */
+  /** Makes the held bills of processes that are gone this host's own; returns how many. */
   adoptOrphaned(
     isGone: (owner: string, boot: string, heldAt: number) => boolean,
   ): number {
