--- a/packages/decisions/src/sessions/session_sealer.ts
+++ b/packages/decisions/src/sessions/session_sealer.ts
@@ -3,7 +3,7 @@
 import type {Sealer} from '../sealing/sealer.js';
 import {Session} from './session.js';
 
-/** Mints session ids that any host can open, and refuses altered ones and those of other workspaces. */
+/** Creates session ids that any host can open, and rejects modified ids and those of other workspaces. */
 export class SessionSealer {
   constructor(private readonly sealer: Sealer) {}
 
