--- a/packages/decisions/src/retries/backoff.ts
+++ b/packages/decisions/src/retries/backoff.ts
@@ -2,19 +2,19 @@
 
 interface Options {
   readonly random: RandomSource;
-  /** The first delay's upper bound, in ms. */
+  /** Upper bound of the first delay, in ms. */
   readonly initialMs: number;
-  /** No delay is longer, in ms. */
+  /** Upper bound of all delays, in ms. */
   readonly maxMs: number;
 }
 
-/** Exponential back-off with full jitter. */
+/** Exponential backoff with full jitter. */
 export class Backoff {
   private attempt = 0;
 
   constructor(private readonly options: Options) {}
 
-  /** The next delay in ms. */
+  /** Returns the next delay in ms. */
   nextDelayMs(): number {
     const bound = Math.min(
       this.options.maxMs,
--- a/packages/decisions/src/retries/retry_budget.ts
+++ b/packages/decisions/src/retries/retry_budget.ts
@@ -1,14 +1,14 @@
 interface Options {
   /** Retries earned by each first attempt. */
   readonly ratio?: number;
-  /** Retries that can be saved up. */
+  /** Maximum number of saved retries. */
   readonly maxBalance?: number;
 }
 
 const RATIO = 0.1;
 const MAX_BALANCE = 10;
 
-/** Bounds retries to a part of the traffic, so that they cannot multiply an overload. */
+/** Limits retries to a fraction of the traffic, so that they cannot amplify an overload. */
 export class RetryBudget {
   private balance: number;
   private readonly ratio: number;
@@ -20,12 +20,12 @@
     this.balance = this.maxBalance;
   }
 
-  /** Counts a first attempt. */
+  /** Records a first attempt, which earns a fraction of a retry. */
   recordFirstAttempt(): void {
     this.balance = Math.min(this.maxBalance, this.balance + this.ratio);
   }
 
-  /** Takes one retry out of the budget; false when there is none. */
+  /** Takes a retry from the budget; false when none is left. */
   trySpend(): boolean {
     if (this.balance < 1) return false;
     this.balance--;
