--- a/packages/decisions/src/prompts/estimate_token_count.ts
+++ b/packages/decisions/src/prompts/estimate_token_count.ts
@@ -1,6 +1,6 @@
 const CHARACTERS_PER_TOKEN = 4;
 
-/** A rough count of a text's tokens, for predictions only. */
+/** Roughly estimates a text's token count, for predictions only. */
 export function estimateTokenCount(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/packages/decisions/src/prompts/hash_prompt_prefixes.ts
+++ b/packages/decisions/src/prompts/hash_prompt_prefixes.ts
@@ -5,9 +5,8 @@
 const HASH_LENGTH = 16;
 
 /**
- * Names the prefixes of a prompt, shortest first: one for each block of 1,024
- * characters that is full. Equal beginnings have equal names, so an engine's
- * cache events can be matched without passing text on.
+ * Hashes the prefixes of a prompt, shortest first: one for each full block of 1,024 characters. Equal
+ * prefixes have equal hashes, so an engine's cache events can be matched without exchanging text.
  */
 export function hashPromptPrefixes(version: string, prompt: string): string[] {
   const blocks = Math.min(
@@ -15,12 +14,12 @@
     Math.floor(prompt.length / BLOCK_CHARACTERS),
   );
   const hash = createHash('sha256').update(version);
-  const names: string[] = [];
+  const hashes: string[] = [];
   for (let block = 0; block < blocks; block++) {
     hash.update(
       prompt.slice(block * BLOCK_CHARACTERS, (block + 1) * BLOCK_CHARACTERS),
     );
-    names.push(hash.copy().digest('hex').slice(0, HASH_LENGTH));
+    hashes.push(hash.copy().digest('hex').slice(0, HASH_LENGTH));
   }
-  return names;
+  return hashes;
 }
--- a/packages/decisions/src/prompts/render_prompt_text.ts
+++ b/packages/decisions/src/prompts/render_prompt_text.ts
@@ -1,4 +1,4 @@
-/** All text of a chat body's messages in order, with roles, as engines would lay it out. */
+/** Renders the text of all messages of a chat request in order, with roles, as engines would lay it out. */
 export function renderPromptText(
   body: Readonly<Record<string, unknown>>,
 ): string {
