--- a/packages/decisions/src/leases/lease_record.ts
+++ b/packages/decisions/src/leases/lease_record.ts
@@ -6,11 +6,11 @@
   place: z.string(),
   holder: z.string(),
   boot: z.string(),
-  /** How long it holds from the log's time of the append, in ms; 0 gives it up. */
+  /** Duration of the lease, from the log's time of the append, in ms; 0 releases it. */
   ttlMs: z.int().min(0),
 });
 
-/** A request for the lease of a place, or its renewal. */
+/** A request to acquire or renew the lease of a place. */
 type LeaseRecord = z.output<typeof leaseRecord>;
 const LeaseRecord = leaseRecord;
 
--- a/packages/decisions/src/leases/lease_table.ts
+++ b/packages/decisions/src/leases/lease_table.ts
@@ -3,15 +3,15 @@
 interface Lease {
   readonly holder: string;
   readonly boot: string;
-  /** The log's time at which it ends. */
+  /** Expiry time, by the log's clock. */
   readonly until: number;
-  /** The offset of the record: the fencing token. It only grows. */
+  /** Offset of the record, which serves as the fencing token. It only grows. */
   readonly token: number;
-  /** Whether its holder gave it up. */
+  /** Whether its holder released it. */
   readonly isGivenUp: boolean;
 }
 
-/** Folds the lease stream. Every reader agrees on the holder, since only the log's order and time count. */
+/** Folds the lease stream. All readers agree on the holder, since only the log's order and clock count. */
 export class LeaseTable {
   private readonly leases = new Map<string, Lease>();
 
