--- a/packages/decisions/src/outcomes/outcome.ts
+++ b/packages/decisions/src/outcomes/outcome.ts
@@ -1,7 +1,7 @@
-/** What a caller is told about whether its request ran. */
+/** Whether a request ran, as reported to its caller. */
 const Outcome = {
   RAN: 'ran',
-  /** Said only when no runner can have begun it. */
+  /** Reported only when no runner can have started it. */
   NOT_RUN: 'not-run',
   UNKNOWN: 'unknown',
 } as const;
