--- a/packages/decisions/src/tickets/claim_record.ts
+++ b/packages/decisions/src/tickets/claim_record.ts
@@ -2,9 +2,9 @@
 
 const claimRecord = z.strictObject({
   type: z.literal('claim'),
-  /** The record's own id; sent again with the same id when a reply is lost. */
+  /** Id of the record; unchanged when the record is sent again after a lost response. */
   id: z.string().max(64),
-  /** SHA-256 over workspace and the caller's key, in hex. */
+  /** SHA-256 of the workspace and the idempotency key, in hex. */
   key: z.string().length(64),
   host: z.string(),
   place: z.string(),
@@ -12,7 +12,7 @@
   address: z.string(),
 });
 
-/** A host's claim to be the one that runs the request of a caller's own key. */
+/** A host's claim to run the request of an idempotency key that its caller chose. */
 type ClaimRecord = z.output<typeof claimRecord>;
 const ClaimRecord = claimRecord;
 
--- a/packages/decisions/src/tickets/claim_table.ts
+++ b/packages/decisions/src/tickets/claim_table.ts
@@ -2,7 +2,7 @@
 
 interface Entry {
   readonly claim: ClaimRecord;
-  /** The log's time of the append. */
+  /** Time of the append, by the log's clock. */
   readonly at: number;
 }
 
@@ -10,7 +10,7 @@
 export class ClaimTable {
   private readonly winners = new Map<string, Entry>();
 
-  /** @param windowMs How long a key stays claimed, by the log's time; shorter than the log's retention. */
+  /** @param windowMs How long a key stays claimed, by the log's clock; shorter than the log's retention. */
   constructor(private readonly windowMs: number) {}
 
   fold(entry: ClaimRecord, at: number): void {
--- a/packages/decisions/src/tickets/idempotency_cache.ts
+++ b/packages/decisions/src/tickets/idempotency_cache.ts
@@ -4,16 +4,16 @@
 interface Entry<Answer> {
   readonly fingerprint: string;
   readonly answer: Promise<Answer>;
-  /** Monotonic ms; infinite while the request runs. */
+  /** Monotonic expiry time in ms; infinite while the request runs. */
   forgetAt: number;
   bytes: number;
 }
 
 interface Options<Answer> {
   readonly clock: Clock;
-  /** How long an answer is kept after it is whole, in ms. */
+  /** How long an answer is kept after it is complete, in ms. */
   readonly retentionMs: number;
-  /** The bytes that finished answers may hold together. */
+  /** Maximum total size of complete answers, in bytes. */
   readonly maxBytes: number;
   readonly measureBytes: (answer: Answer) => number;
 }
@@ -24,15 +24,14 @@
   readonly answer: Answer | undefined;
 }
 
-/** Why a key gives no answer. */
-type Refusal = 'other request' | 'forgotten' | 'full';
+/** Why there is no answer for a key. */
+type Rejection = 'other request' | 'forgotten' | 'full';
 
 const MAX_EXPIRED_KEYS = 200_000;
 
 /**
- * Remembers the first answer for a key, so that the same key again gives the
- * same answer and never a second run. A key whose answer had to be dropped
- * stays known as used.
+ * Caches the first answer for an idempotency key, so that a repeated key gets the same answer and the
+ * request never runs twice. A key whose answer was evicted is still known to be used.
  */
 export class IdempotencyCache<Answer> {
   private readonly entries = new Map<string, Entry<Answer>>();
@@ -41,12 +40,12 @@
 
   constructor(private readonly options: Options<Answer>) {}
 
-  /** Gives the remembered answer, or runs `run` once and remembers what it gives. */
+  /** Returns the cached answer, or calls `run` once and caches its result. */
   runOnce(
     key: string,
     fingerprint: string,
     run: () => Promise<Answer>,
-  ): Either<Refusal, Promise<Answer>> {
+  ): Either<Rejection, Promise<Answer>> {
     this.expire();
     const known = this.entries.get(key);
     if (known)
@@ -69,7 +68,7 @@
     return Right(entry.answer);
   }
 
-  /** Takes over an answer that another host gave; nothing means that it is no longer known. */
+  /** Takes over a key from another host; `answer` is undefined when it is no longer stored there. */
   adoptAnswer(
     key: string,
     fingerprint: string,
@@ -79,21 +78,21 @@
     else this.runOnce(key, fingerprint, () => Promise.resolve(answer));
   }
 
-  /** All keys that were used, with their answers as far as they are still kept. */
+  /** Lists all used keys, with their answers if they are still cached. */
   async listUsedKeys(): Promise<UsedKey<Answer>[]> {
-    const kept = [...this.entries].map(
+    const cached = [...this.entries].map(
       async ([key, {fingerprint, answer}]) => ({
         key,
         fingerprint,
         answer: await answer.catch(() => undefined),
       }),
     );
-    const forgotten = [...this.expiredKeys].map(key => ({
+    const expired = [...this.expiredKeys].map(key => ({
       key,
       fingerprint: '',
       answer: undefined,
     }));
-    return [...(await Promise.all(kept)), ...forgotten];
+    return [...(await Promise.all(cached)), ...expired];
   }
 
   /** Whether the key was used before. */
@@ -101,7 +100,7 @@
     return this.entries.has(key) || this.expiredKeys.has(key);
   }
 
-  /** Frees a key whose request is known not to have run. */
+  /** Removes a key whose request is known not to have run, so that it can be used again. */
   release(key: string): void {
     const entry = this.entries.get(key);
     if (!entry) return;
@@ -109,7 +108,7 @@
     this.entries.delete(key);
   }
 
-  /** Keys whose request has not ended. */
+  /** Counts the keys whose request is still running. */
   countRunning(): number {
     return [...this.entries.values()].filter(
       entry => entry.forgetAt === Infinity,
--- a/packages/decisions/src/tickets/ticket.ts
+++ b/packages/decisions/src/tickets/ticket.ts
@@ -6,15 +6,15 @@
   /** The only host that may dispatch the request. */
   host: z.string(),
   place: z.string(),
-  /** The process of that host that gave the ticket; its successor may not dispatch it. */
+  /** The process of that host that issued the ticket; a later process of the host must not dispatch the request. */
   boot: z.string(),
   /** The peer address of that process. */
   address: z.string(),
-  /** Wall time of the giving host in ms after which it refuses the ticket. */
+  /** Wall time in ms, by the issuing host's clock, after which it rejects the ticket. */
   expiresAt: z.number(),
 });
 
-/** A one-time permit to run a request that may not be repeated. */
+/** A single-use permit to run a request that must not be repeated. */
 type Ticket = z.output<typeof ticket>;
 const Ticket = ticket;
 
--- a/packages/decisions/src/tickets/ticket_sealer.ts
+++ b/packages/decisions/src/tickets/ticket_sealer.ts
@@ -5,7 +5,7 @@
 
 const PREFIX = 'bst_';
 
-/** Mints tickets and opens them on any host. */
+/** Seals tickets, which any host can open. */
 export class TicketSealer {
   constructor(private readonly sealer: Sealer) {}
 
@@ -13,7 +13,7 @@
     return PREFIX + this.sealer.seal(ticket);
   }
 
-  /** Tells a ticket from a key that the caller made up. */
+  /** Whether a key is a ticket, rather than an idempotency key that the caller chose. */
   isTicket(key: string): boolean {
     return key.startsWith(PREFIX);
   }
@@ -24,8 +24,10 @@
       .mapLeft(createInvalidTicketProblem)
       .chain(value => {
         const parsed = Ticket.safeParse(value);
-        const own = parsed.success && parsed.data.workspace === workspace;
-        return own ? Right(parsed.data) : Left(createInvalidTicketProblem());
+        const isValid = parsed.success && parsed.data.workspace === workspace;
+        return isValid
+          ? Right(parsed.data)
+          : Left(createInvalidTicketProblem());
       });
   }
 }
