--- a/packages/decisions/src/versions/find_eligible_versions.ts
+++ b/packages/decisions/src/versions/find_eligible_versions.ts
@@ -9,9 +9,9 @@
 const AUTO = 'auto';
 
 /**
- * The versions that may answer a request, weakest model first. This is the only
- * gate to a runner: it is asked again before every attempt, so that a change of
- * the configuration stops queued, retried and cascaded work alike.
+ * Finds the versions that may answer a request, weakest model first. No request reaches a runner
+ * without this check: it is repeated before every attempt, so that a configuration change also stops
+ * queued, retried and cascaded requests.
  */
 export function findEligibleVersions(
   config: Configuration,
@@ -32,11 +32,11 @@
     .map(id => config.versions[id])
     .filter(version => version !== undefined);
   if (request.session) return resolveSessionVersion(config, request, allowed);
-  const named = allowed.filter(version =>
+  const selected = allowed.filter(version =>
     matchesSelector(version, request.selector),
   );
-  if (named.length === 0) return Left(createNotAllowedProblem(request));
-  const usable = named.filter(version => acceptsNewWork(version, request));
+  if (selected.length === 0) return Left(createNotAllowedProblem(request));
+  const usable = selected.filter(version => acceptsNewWork(version, request));
   if (usable.length === 0) return Left(createNoUsableVersionProblem(request));
   return Right(
     usable.sort((a, b) => a.strength - b.strength || a.id.localeCompare(b.id)),
@@ -103,24 +103,24 @@
 function createNoUsableVersionProblem(request: VersionRequest): Problem {
   return new Problem({
     kind: ProblemKind.NO_RUNNER,
-    what: `no version of ${JSON.stringify(request.selector)} takes new work now`,
+    what: `no version of ${JSON.stringify(request.selector)} accepts new requests now`,
     remedy: 'name another model or auto, or try again later',
     retryAfterMs: 5_000,
   });
 }
 
-function createSessionEndedProblem(why: string): Problem {
+function createSessionEndedProblem(reason: string): Problem {
   return new Problem({
     kind: ProblemKind.SESSION_ENDED,
-    what: `the session has ended: ${why}`,
-    remedy: 'begin a new session by leaving Bayspool-Session out',
+    what: `the session has ended: ${reason}`,
+    remedy: 'omit Bayspool-Session to start a new session',
   });
 }
 
 function createStaleProblem(): Problem {
   return new Problem({
     kind: ProblemKind.STALE,
-    what: 'this host is cut off from the configuration and must not run this request meanwhile',
+    what: 'this host cannot tell whether its configuration is current, so it must not run this request',
     remedy: 'try again later or at another place',
     retryAfterMs: 10_000,
   });
--- a/packages/decisions/src/versions/pick_versions.ts
+++ b/packages/decisions/src/versions/pick_versions.ts
@@ -3,23 +3,22 @@
 
 interface Options {
   readonly random: RandomSource;
-  /** Whether the exposure budget lets this version take another answer. */
+  /** Whether the exposure budget allows this version another answer. */
   readonly hasExposureBudget: (version: Version) => boolean;
-  /** Whether a runner in reach has it loaded. */
+  /** Whether a reachable runner has the version loaded. */
   readonly isLoaded: (version: Version) => boolean;
 }
 
 /**
- * Chooses one version a model: one that rolls out gets its step's part of the work,
- * and a stable one the rest. Versions that no runner carries are left out as long as
- * there is another.
+ * Picks one version per model: a version in rollout gets its current step's fraction of the requests,
+ * and a stable version the rest. Versions that no runner has loaded are skipped unless there is no other.
  */
 export function pickVersions(
   eligible: readonly Version[],
   options: Options,
 ): Version[] {
-  const carried = eligible.filter(options.isLoaded);
-  const usable = carried.length > 0 ? carried : eligible;
+  const loaded = eligible.filter(options.isLoaded);
+  const usable = loaded.length > 0 ? loaded : eligible;
   const models = [...new Set(usable.map(version => version.model))];
   return models
     .map(model =>
@@ -35,12 +34,12 @@
   versions: readonly Version[],
   options: Options,
 ): Version | undefined {
-  const rolling = versions.filter(version => version.rollOut !== undefined);
-  const settled = versions.filter(version => version.rollOut === undefined);
-  for (const version of rolling) {
-    const part = version.rollOut!.steps[version.rollOut!.step];
-    const chosen = options.random.next() < part || settled.length === 0;
-    if (chosen && options.hasExposureBudget(version)) return version;
+  const rollingOut = versions.filter(version => version.rollOut !== undefined);
+  const stable = versions.filter(version => version.rollOut === undefined);
+  for (const version of rollingOut) {
+    const fraction = version.rollOut!.steps[version.rollOut!.step];
+    const isChosen = options.random.next() < fraction || stable.length === 0;
+    if (isChosen && options.hasExposureBudget(version)) return version;
   }
-  return settled[options.random.below(settled.length)];
+  return stable[options.random.below(stable.length)];
 }
--- a/packages/decisions/src/versions/version_request.ts
+++ b/packages/decisions/src/versions/version_request.ts
@@ -1,6 +1,6 @@
 import type {Session} from '../sessions/session.js';
 
-/** What decides the versions that may answer one request. */
+/** The properties of a request that decide which versions may answer it. */
 export interface VersionRequest {
   readonly workspace: string;
   readonly task: string;
@@ -9,6 +9,6 @@
   readonly session?: Session;
   /** Whether this host's configuration is older than the freshness limit. */
   readonly stale: boolean;
-  /** Versions that peers hold suspect but the log does not yet. */
+  /** Versions that hosts suspect although the log may not say so yet. */
   readonly suspects: ReadonlySet<string>;
 }
