--- a/packages/decisions/src/cascade/cascade_request.ts
+++ b/packages/decisions/src/cascade/cascade_request.ts
@@ -1,12 +1,12 @@
-/** What the plan of a cascade depends on, besides its candidates. */
+/** The properties of a request that its cascade plan depends on. */
 export interface CascadeRequest {
-  /** The part of answers that must be rated good. */
+  /** Fraction of answers that must be rated good. */
   readonly quality: number;
   /** Time until the deadline, in ms. */
   readonly remainingMs: number;
-  /** How long a rating is waited for, in ms. */
+  /** Maximum time to wait for a rating, in ms. */
   readonly ratingWaitMs: number;
-  /** Whether the answer can be held until it is rated. */
+  /** Whether the answer can be held back until it is rated. */
   readonly canHoldAnswer: boolean;
   readonly now: number;
 }
--- a/packages/decisions/src/cascade/cheapest_model_only.ts
+++ b/packages/decisions/src/cascade/cheapest_model_only.ts
@@ -2,7 +2,7 @@
 import type {CascadePlan} from './cascade_plan.js';
 import type {CascadePolicy} from './cascade_policy.js';
 
-/** A baseline: the cheapest model answers everything. */
+/** Baseline policy: the cheapest model answers every request. */
 export class CheapestModelOnly implements CascadePolicy {
   plan(candidates: readonly CascadeCandidate[]): CascadePlan {
     const cheapest = [...candidates].sort(
--- a/packages/decisions/src/cascade/learned_cascade.test.ts
+++ b/packages/decisions/src/cascade/learned_cascade.test.ts
@@ -29,12 +29,12 @@
 };
 
 function legsFor(
-  passPart: number,
+  passRate: number,
   overrides: Partial<CascadeRequest> = {},
 ): string[] {
   const estimate = new PassRateEstimate({halfLifeMs: 1e9});
   for (let count = 0; count < 200; count++)
-    estimate.addRating(count < 200 * passPart, 0);
+    estimate.addRating(count < 200 * passRate, 0);
   const candidates = [
     {version: cheap, estimate, expectedMs: 500},
     {
@@ -58,7 +58,7 @@
   assert.deepEqual(legsFor(0.05), ['large@1']);
 });
 
-void test('the strong model answers alone when the answer cannot be held or both legs do not fit the deadline', () => {
+void test('the strong model answers alone when the answer cannot be held back or both legs do not fit the deadline', () => {
   assert.deepEqual(legsFor(0.6, {canHoldAnswer: false}), ['large@1']);
   assert.deepEqual(legsFor(0.6, {remainingMs: 1_500}), ['large@1']);
 });
--- a/packages/decisions/src/cascade/learned_cascade.ts
+++ b/packages/decisions/src/cascade/learned_cascade.ts
@@ -6,11 +6,11 @@
 
 interface Options {
   readonly random: RandomSource;
-  /** Standard deviations below the mean that a model must clear to answer alone. */
+  /** Standard deviations below a model's mean pass rate that must still meet the target for it to answer alone. */
   readonly deviations?: number;
-  /** Ratings needed before an estimate is believed. */
+  /** Minimum number of ratings before an estimate is used. */
   readonly minRatings?: number;
-  /** The part of requests spent on trying the cheap model when it is not believed to pay. */
+  /** Fraction of requests that try the cheap model although this is not expected to save cost. */
   readonly explorationRate?: number;
 }
 
@@ -19,10 +19,10 @@
 const EXPLORATION_RATE = 0.02;
 
 /**
- * The cheapest plan that meets the quality target. A cheap model answers alone
- * when the lower bound of its pass probability is at the target. It goes first
- * with the strong one behind it when p > c/s, since c + (1 - p)s < s, and both
- * legs and the rating fit the deadline. Else the strong model answers alone.
+ * Chooses the cheapest plan that meets the quality target. A model answers alone when the lower bound
+ * of its pass rate reaches the target. The cheap model goes first, with the strong one as fallback,
+ * when p > c/s (p is its pass rate, c and s are the costs), since then c + (1 - p)s < s, and when both
+ * legs and the rating fit the deadline. Otherwise the strong model answers alone.
  */
 export class LearnedCascade implements CascadePolicy {
   private readonly options: Required<Options>;
@@ -83,7 +83,7 @@
     request: CascadeRequest,
   ): boolean {
     if (this.options.random.next() < this.options.explorationRate) return true;
-    const threshold = cheap.version.cost / strong.version.cost;
-    return cheap.estimate.mean(request.now) > threshold;
+    const minPassRate = cheap.version.cost / strong.version.cost;
+    return cheap.estimate.mean(request.now) > minPassRate;
   }
 }
--- a/packages/decisions/src/cascade/pass_rate_estimate.ts
+++ b/packages/decisions/src/cascade/pass_rate_estimate.ts
@@ -1,11 +1,11 @@
 interface Options {
-  /** After this time a rating counts half, in ms. */
+  /** Time after which a rating counts half, in ms. */
   readonly halfLifeMs: number;
 }
 
 const PRIOR_RATINGS = 1;
 
-/** A Beta posterior of the probability that an answer is rated good, with exponential forgetting. */
+/** A Beta posterior of the probability that an answer is rated good, with exponential decay. */
 export class PassRateEstimate {
   private good = 0;
   private bad = 0;
@@ -19,7 +19,7 @@
     else this.bad++;
   }
 
-  /** The posterior mean. */
+  /** Returns the posterior mean. */
   mean(now: number): number {
     this.decay(now);
     return (
@@ -28,7 +28,7 @@
     );
   }
 
-  /** The mean less `deviations` standard deviations, at least 0. */
+  /** Returns the mean minus `deviations` standard deviations, at least 0. */
   lowerBound(now: number, deviations: number): number {
     const mean = this.mean(now);
     const total = this.effectiveRatings() + 2 * PRIOR_RATINGS;
@@ -36,7 +36,7 @@
     return Math.max(0, mean - deviations * deviation);
   }
 
-  /** The effective number of ratings. */
+  /** Returns the effective number of ratings: those that are left after the decay. */
   effectiveRatings(): number {
     return this.good + this.bad;
   }
