--- a/packages/decisions/src/configuration/apply_intent.ts
+++ b/packages/decisions/src/configuration/apply_intent.ts
@@ -5,13 +5,16 @@
 import {VersionState} from './version_state.js';
 import type {Workspace} from './workspace.js';
 
-/** Why an intent cannot be carried out, in words for the operator. */
-type Refusal = string;
-type Result = Either<Refusal, Configuration>;
+/** Why an intent cannot be applied, worded for the operator. */
+type Rejection = string;
+type Result = Either<Rejection, Configuration>;
 
 const MODEL_SEPARATOR = '@';
 
-/** Carries out one intent on the configuration, or says why it cannot be. Pure; all hosts reach the same result. */
+/**
+ * Applies an intent to the configuration, or returns why it cannot be applied. Pure, so that all hosts
+ * get the same result. The text of a rejection becomes part of the state that hosts compare by digest.
+ */
 export function applyIntent(config: Configuration, intent: Intent): Result {
   switch (intent.kind) {
     case 'set-workspace':
@@ -113,19 +116,19 @@
   });
 }
 
-function retireVersion(version: Version): Either<Refusal, Version> {
+function retireVersion(version: Version): Either<Rejection, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn already`);
   return Right({...version, state: VersionState.RETIRING, rollOut: undefined});
 }
 
-function withdrawVersion(version: Version): Either<Refusal, Version> {
+function withdrawVersion(version: Version): Either<Rejection, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn already`);
   return Right({...version, state: VersionState.WITHDRAWN, rollOut: undefined});
 }
 
-function resumeRollOut(version: Version): Either<Refusal, Version> {
+function resumeRollOut(version: Version): Either<Rejection, Version> {
   if (version.suspect === undefined)
     return Left(`version ${version.id} is not halted`);
   if (version.state === VersionState.WITHDRAWN)
@@ -136,7 +139,7 @@
 function advanceRollOut(
   version: Version,
   step: number,
-): Either<Refusal, Version> {
+): Either<Rejection, Version> {
   if (!version.rollOut || version.suspect !== undefined)
     return Left(`version ${version.id} is not rolling out`);
   if (step !== version.rollOut.step + 1)
@@ -149,7 +152,7 @@
 function haltVersion(
   version: Version,
   evidence: string,
-): Either<Refusal, Version> {
+): Either<Rejection, Version> {
   if (version.state === VersionState.WITHDRAWN)
     return Left(`version ${version.id} is withdrawn`);
   if (version.suspect !== undefined)
@@ -210,7 +213,7 @@
 function requirePlace(
   config: Configuration,
   id: string,
-): Either<Refusal, true> {
+): Either<Rejection, true> {
   return config.places[id] ? Right(true) : Left(`there is no place ${id}`);
 }
 
@@ -230,7 +233,7 @@
 function changeVersion(
   config: Configuration,
   id: string,
-  change: (version: Version) => Either<Refusal, Version>,
+  change: (version: Version) => Either<Rejection, Version>,
 ): Result {
   const version = config.versions[id];
   if (!version) return Left(`there is no version ${id}`);
--- a/packages/decisions/src/configuration/config_record.ts
+++ b/packages/decisions/src/configuration/config_record.ts
@@ -5,10 +5,10 @@
 
 const intentRecord = z.strictObject({
   type: z.literal('intent'),
-  /** Chosen when planned; the same intent sent twice has the same id. */
+  /** Assigned when the intent is planned; an intent that is sent again has the same id. */
   id: z.string().min(1).max(64),
   intent: Intent.any,
-  /** The revision of each touched object when it was planned. */
+  /** Revision of each touched object when the intent was planned. */
   basis: z.record(z.string(), z.int()),
   by: z.string().max(128),
 });
@@ -16,7 +16,7 @@
 const snapshotRecord = z.strictObject({
   type: z.literal('snapshot'),
   id: z.string().min(1).max(64),
-  /** The last offset that the state covers. */
+  /** Offset of the last record that the state includes. */
   upTo: z.int(),
   /** SHA-256 of the state's canonical JSON, in hex. */
   digest: z.string(),
--- a/packages/decisions/src/configuration/configuration.ts
+++ b/packages/decisions/src/configuration/configuration.ts
@@ -5,11 +5,11 @@
 import type {Workspace} from './workspace.js';
 
 /**
- * All that operators configured, as of one offset of the log. Plain data: it is
- * hashed, put into snapshots and sent between peers as it is.
+ * The whole configuration as of one offset of the log. Plain data: it is hashed,
+ * stored in snapshots and sent to peers unchanged.
  */
 export interface Configuration {
-  /** The offset of the last record folded in; -1 before the first. */
+  /** Offset of the last folded record; -1 before the first. */
   readonly offset: number;
   readonly versions: Readonly<Record<string, Version>>;
   readonly workspaces: Readonly<Record<string, Workspace>>;
@@ -19,6 +19,6 @@
   readonly drained: Readonly<Record<string, true>>;
   /** The offset at which each object last changed, by object key. */
   readonly revisions: Readonly<Record<string, number>>;
-  /** The newest verdicts, oldest first; bounded. */
+  /** The latest verdicts, oldest first; their number is bounded. */
   readonly verdicts: readonly IntentVerdict[];
 }
--- a/packages/decisions/src/configuration/describe_hazards.ts
+++ b/packages/decisions/src/configuration/describe_hazards.ts
@@ -2,7 +2,7 @@
 import type {Intent} from './intent.js';
 import {VersionState} from './version_state.js';
 
-/** What an operator should know before confirming: who would be left without an answer. */
+/** Describes what an operator should know before confirming an intent, such as tasks that it leaves without a version. */
 export function describeHazards(
   before: Configuration,
   after: Configuration,
@@ -19,12 +19,12 @@
   }
   if (intent.kind === 'withdraw') {
     hazards.push(
-      'a place that is cut off from the log and from its peers learns of it only when it is back',
+      'a place that can reach neither the log nor its peers applies it only after it has reconnected',
     );
   }
   if (intent.kind === 'hand-over-place') {
     hazards.push(
-      `${intent.to} must carry the work of ${intent.place} as well; look at its load first`,
+      `${intent.to} will also serve the requests of ${intent.place}; check its load first`,
     );
   }
   if (
@@ -32,7 +32,7 @@
     after.places[intent.to]?.handedOverTo
   ) {
     hazards.push(
-      `${intent.to} is handed over to ${after.places[intent.to].handedOverTo}, which will get the work`,
+      `${intent.to} is handed over to ${after.places[intent.to].handedOverTo}, which will get the requests`,
     );
   }
   return hazards;
@@ -44,7 +44,7 @@
 ): string[] {
   return findTasksWithoutVersion(after)
     .filter(name => !findTasksWithoutVersion(before).includes(name))
-    .map(name => `${name} is left with no version that takes new work`);
+    .map(name => `${name} is left with no version that accepts new requests`);
 }
 
 function findTasksWithoutVersion(config: Configuration): string[] {
--- a/packages/decisions/src/configuration/describe_steps.ts
+++ b/packages/decisions/src/configuration/describe_steps.ts
@@ -4,7 +4,7 @@
 const WAIT_UNTIL_IN_FORCE =
   'wait until every host reports the configuration in force';
 
-/** The steps of an intent, in words, in the order in which they happen. */
+/** Describes the steps of an intent for the operator, in the order in which they happen. */
 export function describeSteps(config: Configuration, intent: Intent): string[] {
   switch (intent.kind) {
     case 'set-workspace':
--- a/packages/decisions/src/configuration/empty_configuration.ts
+++ b/packages/decisions/src/configuration/empty_configuration.ts
@@ -1,6 +1,6 @@
 import type {Configuration} from './configuration.js';
 
-/** The state before the first record. No host serves from it. */
+/** The state before the first record. No host serves requests with it. */
 export const emptyConfiguration: Configuration = {
   offset: -1,
   versions: {},
--- a/packages/decisions/src/configuration/fold_record.test.ts
+++ b/packages/decisions/src/configuration/fold_record.test.ts
@@ -40,7 +40,7 @@
 const withdraw: Intent = {kind: 'withdraw', version: 'geo@1'};
 const retire: Intent = {kind: 'retire', version: 'geo@1'};
 
-void test('of two intents with the same basis the first in the log wins and the other learns to whom it lost', () => {
+void test('of two intents with the same basis the first in the log is accepted, and the verdict of the other names it', () => {
   const first = record(seeded, 'first', withdraw);
   const second = record(seeded, 'second', retire);
   const after = foldRecord(foldRecord(seeded, 1, first), 2, second);
@@ -50,7 +50,7 @@
   assert.equal(after.verdicts[1].lostTo, 'first');
 });
 
-void test('an intent sent twice counts once', () => {
+void test('an intent that is sent twice is applied once', () => {
   const sent = record(seeded, 'first', retire);
   const once = foldRecord(seeded, 1, sent);
   const twice = foldRecord(once, 2, sent);
@@ -62,7 +62,7 @@
   assert.equal(foldRecord(after, 1, record(seeded, 'second', retire)), after);
 });
 
-void test('a snapshot with a wrong digest is not taken over', () => {
+void test('a snapshot with a wrong digest is not restored', () => {
   const snapshot: ConfigRecord = {
     type: 'snapshot',
     id: 'snapshot',
--- a/packages/decisions/src/configuration/fold_record.ts
+++ b/packages/decisions/src/configuration/fold_record.ts
@@ -7,13 +7,13 @@
 import {listTouchedObjects} from './list_touched_objects.js';
 import type {IntentVerdict} from './intent_verdict.js';
 
-/** Verdicts kept for operators and for recognising an intent sent twice. */
+/** Verdicts kept for operators and for detecting an intent that is sent twice. */
 const MAX_VERDICTS = 512;
 
 /**
- * Takes one record of the log into the configuration. Pure and total, so every
- * host that folds the same records holds the same state. A record at or below
- * the state's offset changes nothing.
+ * Folds one record of the log into the configuration. Pure and total, so that all
+ * hosts that fold the same records have the same state. A record at or below the
+ * state's offset changes nothing.
  */
 export function foldRecord(
   config: Configuration,
@@ -38,28 +38,34 @@
 ): Configuration {
   if (config.verdicts.some(verdict => verdict.intentId === record.id))
     return config;
-  const common = {
+  const commonFields = {
     intentId: record.id,
     offset: config.offset,
     kind: record.intent.kind,
     subject: getIntentSubject(record.intent),
     by: record.by,
   };
-  const overtaken = findChangedObject(config, record);
-  if (overtaken !== undefined) {
+  const changedObject = findChangedObject(config, record);
+  if (changedObject !== undefined) {
     const lostTo = config.verdicts.find(
-      verdict => verdict.offset === config.revisions[overtaken],
+      verdict => verdict.offset === config.revisions[changedObject],
     )?.intentId;
-    const reason = `${overtaken} changed after the plan was made; ask for a new plan`;
-    return recordVerdict(config, {...common, accepted: false, lostTo, reason});
+    const reason = `${changedObject} changed after the plan was made; ask for a new plan`;
+    return recordVerdict(config, {
+      ...commonFields,
+      accepted: false,
+      lostTo,
+      reason,
+    });
   }
   return applyIntent(config, record.intent).caseOf({
-    Left: reason => recordVerdict(config, {...common, accepted: false, reason}),
+    Left: reason =>
+      recordVerdict(config, {...commonFields, accepted: false, reason}),
     Right: changed =>
       recordVerdict(
         recordRevisions(changed, listTouchedObjects(record.intent)),
         {
-          ...common,
+          ...commonFields,
           accepted: true,
         },
       ),
--- a/packages/decisions/src/configuration/get_intent_subject.ts
+++ b/packages/decisions/src/configuration/get_intent_subject.ts
@@ -1,6 +1,6 @@
 import type {Intent} from './intent.js';
 
-/** The object that an intent is about, as shown in lists. */
+/** Returns the object that an intent is about, as shown in lists. */
 export function getIntentSubject(intent: Intent): string {
   if (intent.kind === 'set-workspace') return intent.workspace.id;
   if (intent.kind === 'undrain')
--- a/packages/decisions/src/configuration/intent.ts
+++ b/packages/decisions/src/configuration/intent.ts
@@ -1,14 +1,14 @@
 import {z} from 'zod';
 import {schemas} from './schemas.js';
 
-const {name, versionId, fraction: part, positive} = schemas;
+const {name, versionId, fraction, positive} = schemas;
 const DEFAULT_EXPOSURE = 100;
 const DEFAULT_STEPS = [0.01, 0.1, 0.5, 1];
 const hostOrRunner = z
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'needs the id of a host or runner');
 
-/** The intents that operators file. Each is checked against this before it is planned. */
+/** The intents that operators submit. Each is validated before it is planned. */
 const operatorIntent = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('set-workspace'),
@@ -26,7 +26,7 @@
     version: versionId,
     cost: positive,
     strength: positive,
-    steps: z.array(part).min(1).max(10).default(DEFAULT_STEPS),
+    steps: z.array(fraction).min(1).max(10).default(DEFAULT_STEPS),
     exposure: z.int().positive().default(DEFAULT_EXPOSURE),
   }),
   z.strictObject({kind: z.literal('retire'), version: versionId}),
@@ -59,7 +59,7 @@
   }),
 ]);
 
-/** What hosts decide by themselves on pooled evidence; filed in the same way, so that races end alike. */
+/** The intents that hosts submit themselves, decided from the ratings of all hosts. They go through the log like those of operators, so that races have the same outcome everywhere. */
 const gateIntent = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('advance-roll-out'),
@@ -76,7 +76,7 @@
 const anyIntent = z.union([operatorIntent, gateIntent]);
 type Intent = z.output<typeof anyIntent>;
 
-/** Checks for intents, by who may file them. */
+/** Schemas of intents, by who may submit them. */
 const Intent = {
   operator: operatorIntent,
   gate: gateIntent,
--- a/packages/decisions/src/configuration/intent_plan.ts
+++ b/packages/decisions/src/configuration/intent_plan.ts
@@ -1,16 +1,16 @@
 import type {Intent} from './intent.js';
 
-/** What an intent would do, before anything is changed. */
+/** The effects of an intent, worked out before anything is changed. */
 export interface IntentPlan {
   /** The id that the confirmed intent will have. */
   readonly id: string;
   readonly intent: Intent;
-  /** What happens, in order, each step with what it touches. */
+  /** The steps in order, each with the objects that it affects. */
   readonly steps: readonly string[];
-  /** What could go wrong or surprise. */
+  /** Risks and unexpected effects. */
   readonly hazards: readonly string[];
-  /** The revision of each touched object; the plan is void when one has moved on. */
+  /** Revision of each touched object; the plan is invalid once one of them has changed. */
   readonly basis: Readonly<Record<string, number>>;
-  /** Wall time in ms since the Unix epoch after which it can no longer be confirmed. */
+  /** Wall time in ms since the Unix epoch after which the plan can no longer be confirmed. */
   readonly lapsesAt: number;
 }
--- a/packages/decisions/src/configuration/intent_verdict.ts
+++ b/packages/decisions/src/configuration/intent_verdict.ts
@@ -1,16 +1,16 @@
-/** What became of an intent when the hosts folded it. */
+/** The result of an intent, determined when the hosts fold its record. */
 export interface IntentVerdict {
   readonly intentId: string;
   readonly accepted: boolean;
   /** The record's offset in the log. */
   readonly offset: number;
-  /** The intent that changed the same objects first. */
+  /** Id of the intent that changed one of the same objects first. */
   readonly lostTo?: string;
-  /** Why it was rejected, in words for the operator. */
+  /** Why it was rejected, worded for the operator. */
   readonly reason?: string;
-  /** The intent itself, for listing. */
+  /** The kind and the subject of the intent, for lists. */
   readonly kind: string;
   readonly subject: string;
-  /** Who filed it: the name of the operator's key, or the host that decided it. */
+  /** Who submitted it: the name of the operator's key, or the host that decided it. */
   readonly by: string;
 }
--- a/packages/decisions/src/configuration/list_touched_objects.ts
+++ b/packages/decisions/src/configuration/list_touched_objects.ts
@@ -1,7 +1,7 @@
 import type {Intent} from './intent.js';
 import type {ObjectKey} from './object_key.js';
 
-/** The objects whose revisions an intent depends on; two intents conflict when these overlap. */
+/** Lists the objects whose revisions an intent depends on; two intents conflict when these overlap. */
 export function listTouchedObjects(intent: Intent): ObjectKey[] {
   switch (intent.kind) {
     case 'set-workspace':
--- a/packages/decisions/src/configuration/object_key.ts
+++ b/packages/decisions/src/configuration/object_key.ts
@@ -1,3 +1,3 @@
-/** Names one configured object across all kinds, as `version/geo-large@4`. */
+/** Identifies a configured object of any kind, such as `version/geo-large@4`. */
 export type ObjectKey =
   `${'version' | 'workspace' | 'service' | 'place' | 'host' | 'runner'}/${string}`;
--- a/packages/decisions/src/configuration/plan_intent.ts
+++ b/packages/decisions/src/configuration/plan_intent.ts
@@ -15,11 +15,11 @@
   readonly lapsesAt: number;
 }
 
-/** Works out what an intent would do. The intent is tried on a copy, so an impossible one is refused here. */
+/** Plans an intent. The intent is applied to a copy of the configuration, so that an impossible one is rejected here. */
 export function planIntent(options: Options): Either<Problem, IntentPlan> {
   const {config, intent, id, lapsesAt} = options;
   return applyIntent(config, intent)
-    .mapLeft(createRefusalProblem)
+    .mapLeft(createRejectionProblem)
     .map(after => ({
       id,
       intent,
@@ -35,11 +35,11 @@
     }));
 }
 
-function createRefusalProblem(refusal: string): Problem {
+function createRejectionProblem(reason: string): Problem {
   return new Problem({
     kind: ProblemKind.CONFLICT,
-    what: refusal,
+    what: reason,
     remedy:
-      'look at the present state with GET /config and file another intent',
+      'check the current state with GET /config and submit another intent',
   });
 }
--- a/packages/decisions/src/configuration/priority_class.ts
+++ b/packages/decisions/src/configuration/priority_class.ts
@@ -1,4 +1,4 @@
-/** The classes that the admission queue serves, the most urgent first. */
+/** The priority classes of the admission queue, the most urgent first. */
 const PriorityClass = {
   URGENT: 'urgent',
   INTERACTIVE: 'interactive',
--- a/packages/decisions/src/configuration/schemas.ts
+++ b/packages/decisions/src/configuration/schemas.ts
@@ -17,11 +17,11 @@
 const positive = z.number().positive();
 
 const rollOut = z.strictObject({
-  /** The part of its model's work at each step, 0 to 1, growing. */
+  /** Fraction of its model's requests at each step, 0 to 1, increasing. */
   steps: z.array(fraction).min(1).max(10),
-  /** The current step's index. */
+  /** Index of the current step. */
   step: z.int().min(0),
-  /** How many answers may be out without a rating, over all hosts together. */
+  /** Exposure budget: maximum number of answers without a rating, over all hosts. */
   exposure: z.int().positive(),
 });
 
@@ -31,26 +31,26 @@
   state: z.enum(VersionState),
   /** Price of a thousand generated tokens, in the operator's unit of account. */
   cost: positive,
-  /** Orders the models from weak (low) to strong (high). */
+  /** Ranks the models from weak (low) to strong (high). */
   strength: positive,
   rollOut: rollOut.optional(),
-  /** Why the gate halted it; absent while nothing speaks against it. */
+  /** Why the gate halted it; absent while it is not halted. */
   suspect: z.string().max(400).optional(),
 });
 
 const task = z.strictObject({
   priority: z.enum(PriorityClass).default(PriorityClass.INTERACTIVE),
-  /** The part of answers that must be rated good, 0 to 1. */
+  /** Fraction of answers that must be rated good, 0 to 1. */
   quality: fraction.default(0.9),
   versions: z.array(versionId).max(64),
-  /** Used where the caller names no deadline, in ms. */
+  /** Default for requests without a deadline, in ms. */
   deadlineMs: z.int().positive().default(60_000),
 });
 
 const limit = z.strictObject({
-  /** Requests a second over all hosts together. */
+  /** Requests per second over all hosts. */
   requestsPerSecond: positive,
-  /** How many requests may come at once above that rate. */
+  /** Number of requests above that rate that may come in a burst. */
   burst: positive,
 });
 
@@ -61,10 +61,10 @@
     .min(1)
     .max(8),
   home: name,
-  /** Whether its work may run in another place when waiting at home costs more. */
+  /** Whether its requests may run in another place when waiting in the home place costs more. */
   crossing: z.boolean().default(false),
   whenStale: z.enum(StalePolicy).default(StalePolicy.SERVE),
-  /** Its part in fair queueing against other workspaces of the same class. */
+  /** Its weight in fair queueing, relative to other workspaces of the same priority class. */
   weight: positive.default(1),
   limit: limit.optional(),
   tasks: z.record(name, task),
@@ -73,10 +73,10 @@
 
 const route = z.strictObject({
   method: z.enum(['GET', 'POST', 'PUT', 'PATCH', 'DELETE']),
-  /** The path's beginning, such as `/slips`. */
+  /** Prefix of the path, such as `/slips`. */
   path: z.string().startsWith('/'),
   priority: z.enum(PriorityClass).default(PriorityClass.URGENT),
-  /** Whether sending it twice could do harm. */
+  /** Whether running a request twice could do harm. */
   once: z.boolean(),
 });
 
@@ -87,17 +87,17 @@
 
 const place = z.strictObject({
   id: name,
-  /** Whether hosts of this system stand there; a place may have runners only. */
+  /** Whether the place has hosts of this system; a place may have runners only. */
   entry: z.boolean().default(true),
-  /** The place that takes its new work. */
+  /** The place that takes over its new requests. */
   handedOverTo: name.optional(),
 });
 
-/** The shapes of all configured objects; each is also the check of what comes from outside. */
+/** Schemas of all configured objects, which also validate external input. */
 export const schemas = {
   name,
   versionId,
-  fraction: fraction,
+  fraction,
   positive,
   rollOut,
   version,
--- a/packages/decisions/src/configuration/seed.ts
+++ b/packages/decisions/src/configuration/seed.ts
@@ -8,7 +8,7 @@
   places: z.array(schemas.place).min(1),
 });
 
-/** The first configuration of a new log, in the form of a file that an operator writes. */
+/** The initial configuration of a new log, in the form of a file that an operator writes. */
 type Seed = z.output<typeof seed>;
 const Seed = seed;
 
--- a/packages/decisions/src/configuration/stale_policy.ts
+++ b/packages/decisions/src/configuration/stale_policy.ts
@@ -1,8 +1,8 @@
-/** What a workspace wants when a host can no longer tell whether its configuration is the newest. */
+/** How a workspace wants its requests handled when a host can no longer tell whether its configuration is current. */
 const StalePolicy = {
-  /** Stable versions go on answering. */
+  /** Stable versions continue to answer. */
   SERVE: 'serve',
-  /** Requests are refused as not run. */
+  /** Requests are rejected as not run. */
   REFUSE: 'refuse',
 } as const;
 type StalePolicy = (typeof StalePolicy)[keyof typeof StalePolicy];
--- a/packages/decisions/src/configuration/version_state.ts
+++ b/packages/decisions/src/configuration/version_state.ts
@@ -1,11 +1,11 @@
-/** The life of a version, in the order in which it passes through it. */
+/** The states of a version, in the order of its lifecycle. */
 const VersionState = {
-  /** Takes a part of the work that grows in steps while a gate watches its answers. */
+  /** Gets a fraction of the requests that grows in steps while a gate evaluates its answers. */
   ROLLING_OUT: 'rolling-out',
   STABLE: 'stable',
-  /** Sessions go on, no new ones start. */
+  /** Existing sessions continue, but no new ones start. */
   RETIRING: 'retiring',
-  /** No new work at all; streams already running finish. */
+  /** No new requests at all; streams that are already running finish. */
   WITHDRAWN: 'withdrawn',
 } as const;
 type VersionState = (typeof VersionState)[keyof typeof VersionState];
