--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of bayspool: pure logic without I/O, and the interfaces of what stands outside. */
+/** The decision logic of bayspool, free of I/O, and the interfaces of the external services that it relies on. */
 export {Bill} from './billing/bill.js';
 export {BillOutbox} from './billing/bill_outbox.js';
 export type {CascadeCandidate} from './cascade/cascade_candidate.js';
