--- a/packages/daemon/src/billing/bill_methods.ts
+++ b/packages/daemon/src/billing/bill_methods.ts
@@ -1,4 +1,4 @@
-/** Peer methods of billing. */
+/** JSON-RPC methods by which hosts replicate bills. */
 export const billMethods = {
   hold: 'bills.hold',
   settled: 'bills.settled',
--- a/packages/daemon/src/billing/bill_record.ts
+++ b/packages/daemon/src/billing/bill_record.ts
@@ -7,7 +7,7 @@
   bills: z.array(Bill),
 });
 
-/** A record of the bills stream: a batch of one host. Readers drop repeats by the bills' ids. */
+/** A record of the bills stream: a batch from one host. Readers deduplicate by bill id. */
 type BillRecord = z.output<typeof billRecord>;
 const BillRecord = billRecord;
 
--- a/packages/daemon/src/billing/bill_recorder.ts
+++ b/packages/daemon/src/billing/bill_recorder.ts
@@ -29,18 +29,18 @@
   readonly identity: HostIdentity;
   readonly membership: Membership;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly methods: PeerMethodRegistry;
   readonly replicator: BillReplicator;
-  /** How often bills go to the log, in ms. */
+  /** How often pending bills are appended to the log, in ms. */
   readonly flushIntervalMs: number;
-  /** How long a stop tries to place its bills, in ms. */
+  /** How long shutdown tries to append the remaining bills or to hand them to a peer, in ms. */
   readonly shutdownTimeoutMs: number;
-  /** After this time bills of a process that is not heard of are adopted, in ms. */
+  /** How long bills of a process that the membership does not list are held before they are adopted, in ms. */
   readonly adoptAfterMs: number;
-  /** How long an answer whose bill no host takes waits for the log, in ms. */
+  /** How long an answer waits for the append when no peer accepts its bill, in ms. */
   readonly appendTimeoutMs: number;
-  /** Bills that may wait for the log. */
+  /** Bills, own and held for peers, that may wait to be appended. */
   readonly maxPending: number;
 }
 
@@ -49,21 +49,22 @@
 const SHUTDOWN_RETRY_MS = 500;
 
 /**
- * Sees to it that each request's one bill reaches the log. A bill stands on a
- * second host before the answer is whole, goes to the log in batches, and is kept
- * until it was read back. Whoever holds the bill of a process that is gone appends it.
+ * Records the single bill of each request durably. A bill is replicated to a
+ * second host before its answer completes, is appended to the log in batches, and
+ * is kept until it has been read back. The holder of a dead process's bills adopts
+ * them and appends them itself.
  */
 export class BillRecorder implements Service {
-  readonly name = 'bill keeper';
+  readonly name = 'bill recorder';
   private readonly stopping = new AbortController();
-  private readonly ledger: BillOutbox;
+  private readonly outbox: BillOutbox;
   private readonly unreplicatedTotal: Counter;
   private isClosed = false;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    const ledger = new BillOutbox({maxBills: options.maxPending});
-    this.ledger = ledger;
+    const outbox = new BillOutbox({maxBills: options.maxPending});
+    this.outbox = outbox;
     this.unreplicatedTotal = options.metrics.counter(
       'bills_alone_total',
       'Bills that stood on no second host when the answer was given.',
@@ -73,24 +74,27 @@
       'Bills not yet read back from the log.',
       'of',
       () => ({
-        self: ledger.ownCount,
-        peers: ledger.heldCount,
+        self: outbox.ownCount,
+        peers: outbox.heldCount,
       }),
     );
     this.registerMethods();
   }
 
-  /** False when so many bills wait that no more work may be begun. */
+  /** False when too many bills are pending to accept new work. */
   hasCapacity(): boolean {
-    return this.ledger.hasCapacity();
+    return this.outbox.hasCapacity();
   }
 
-  /** Takes a request's bill; resolves when it stands on a second host or in the log, or when neither can be had in time. */
+  /**
+   * Records a request's bill. Resolves when a second host or the log has it, or
+   * when neither took it in time.
+   */
   async record(bill: Bill): Promise<void> {
-    this.ledger.add(bill);
+    this.outbox.add(bill);
     if (await this.options.replicator.replicate(bill)) return;
     await this.appendWithTimeout(bill);
-    if (!this.ledger.isPending(bill.id)) return;
+    if (!this.outbox.isPending(bill.id)) return;
     this.unreplicatedTotal.inc();
     this.options.logger.warn('bill stands on this host only', {
       requestId: bill.id,
@@ -105,42 +109,37 @@
     this.stopping.abort();
     await this.loop;
     this.isClosed = true;
-    // Owners that are killed later count on what is held here.
-    this.ledger.adoptOrphaned(() => true);
+    // The owners of the bills held here may be killed later and rely on these replicas.
+    this.outbox.adoptOrphaned(() => true);
     await this.drainPending();
   }
 
-  /** The last resort when no host takes a bill. */
+  /** The fallback when no peer accepts a bill. */
   private async appendWithTimeout(bill: Bill): Promise<void> {
-    const {clock, appendTimeoutMs: appendWaitMs} = this.options;
-    const late = new AbortController();
+    const {clock, appendTimeoutMs} = this.options;
+    const timerAbort = new AbortController();
     await Promise.race([
       this.append([bill]),
-      sleep(clock, appendWaitMs, late.signal),
+      sleep(clock, appendTimeoutMs, timerAbort.signal),
     ]);
-    late.abort();
+    timerAbort.abort();
   }
 
-  /** Before the process ends its bills have to stand in the log or at a peer; tried for a bounded time. */
+  /** Appends the remaining bills or hands them to a peer before the process ends; gives up after `shutdownTimeoutMs`. */
   private async drainPending(): Promise<void> {
-    const {
-      clock,
-      shutdownTimeoutMs: stopWaitMs,
-      replicator,
-      logger,
-    } = this.options;
-    const deadline = clock.now() + stopWaitMs;
+    const {clock, shutdownTimeoutMs, replicator, logger} = this.options;
+    const deadline = clock.now() + shutdownTimeoutMs;
     for (;;) {
       await this.flush();
-      const rest = this.ledger.listPending();
-      if (rest.length === 0) return;
-      if (await replicator.handOff(rest)) {
-        logger.info('bills handed to a peer', {bills: rest.length});
+      const remaining = this.outbox.listPending();
+      if (remaining.length === 0) return;
+      if (await replicator.handOff(remaining)) {
+        logger.info('bills handed to a peer', {bills: remaining.length});
         return;
       }
       if (clock.now() >= deadline) {
         logger.error('bills lost: neither the log nor a peer took them', {
-          bills: rest.length,
+          bills: remaining.length,
         });
         return;
       }
@@ -149,29 +148,29 @@
   }
 
   private async run(): Promise<void> {
-    const {clock, random, flushIntervalMs: flushMs} = this.options;
+    const {clock, random, flushIntervalMs} = this.options;
     while (!this.stopping.signal.aborted) {
-      await sleep(clock, jitter(random, flushMs), this.stopping.signal);
+      await sleep(clock, jitter(random, flushIntervalMs), this.stopping.signal);
       if (!this.stopping.signal.aborted) await this.flush();
     }
   }
 
   private async flush(): Promise<void> {
     this.adoptOrphans();
-    const bills = this.ledger.listPending().slice(0, MAX_BATCH_SIZE);
+    const bills = this.outbox.listPending().slice(0, MAX_BATCH_SIZE);
     if (bills.length > 0) await this.append(bills);
   }
 
   private async append(bills: readonly Bill[]): Promise<void> {
-    const {log, seal, identity, replicator, logger} = this.options;
-    const value = seal.seal({type: 'bills', host: identity.id, bills});
+    const {log, sealer, identity, replicator, logger} = this.options;
+    const value = sealer.seal({type: 'bills', host: identity.id, bills});
     try {
       const offset = await log.append(BILLS_STREAM, [value]);
       const page = await log.read(BILLS_STREAM, offset, {waitMs: 0});
       const ids = page.records
         .filter(record => record.value === value)
         .flatMap(() => bills.map(bill => bill.id));
-      this.ledger.confirm(ids);
+      this.outbox.confirm(ids);
       await replicator.releaseHolders(ids);
     } catch (error) {
       logger.warn('bills not appended', {
@@ -183,16 +182,18 @@
 
   private adoptOrphans(): void {
     const {clock, logger, adoptAfterMs} = this.options;
-    const oldest = clock.now() - adoptAfterMs;
-    const adopted = this.ledger.adoptOrphaned((owner, boot, heldAt) => {
-      const known = this.findBoot(owner);
-      return known === undefined ? heldAt < oldest : known !== boot;
+    const adoptBefore = clock.now() - adoptAfterMs;
+    const adopted = this.outbox.adoptOrphaned((owner, boot, heldAt) => {
+      const currentBoot = this.findBoot(owner);
+      return currentBoot === undefined
+        ? heldAt < adoptBefore
+        : currentBoot !== boot;
     });
     if (adopted > 0)
       logger.info('bills of a process that is gone adopted', {bills: adopted});
   }
 
-  /** The living process of a host, here or in another place; nothing when it is not heard of. */
+  /** The boot id of a host's live process, in any place; undefined when the membership does not list the host. */
   private findBoot(host: string): string | undefined {
     return this.options.membership
       .listAllHosts()
@@ -201,25 +202,25 @@
 
   private registerMethods(): void {
     const {methods} = this.options;
-    const hold = z.strictObject({
+    const holdParams = z.strictObject({
       owner: z.string(),
       boot: z.string(),
       bills: z.array(Bill),
     });
     methods.register(
       billMethods.hold,
-      hold,
+      holdParams,
       ({owner, boot, bills}) =>
         !this.isClosed &&
         bills.every(bill =>
-          this.ledger.holdForPeer(bill, owner, boot, this.options.clock.now()),
+          this.outbox.holdForPeer(bill, owner, boot, this.options.clock.now()),
         ),
     );
     methods.register(
       billMethods.settled,
       z.strictObject({ids: z.array(z.string())}),
       ({ids}) => {
-        this.ledger.confirm(ids);
+        this.outbox.confirm(ids);
         return true;
       },
     );
@@ -228,7 +229,7 @@
       z.strictObject({bills: z.array(Bill)}),
       ({bills}) => {
         if (this.isClosed) return false;
-        bills.forEach(bill => this.ledger.add(bill));
+        bills.forEach(bill => this.outbox.add(bill));
         return true;
       },
     );
--- a/packages/daemon/src/billing/bill_replicator.ts
+++ b/packages/daemon/src/billing/bill_replicator.ts
@@ -24,18 +24,18 @@
 const MAX_REMOTE_TRIES = 2;
 
 /**
- * Puts bills on a second host: of the own place, or of another when none of the own
- * takes them. Bills that come while a call is out go together in the next one.
+ * Replicates bills to a second host: one of this place, or one of another place when
+ * none here accepts them. Bills that arrive during a call are batched into the next.
  */
 export class BillReplicator {
   private nextBatch: Batch | undefined;
   private lastSend: Promise<unknown> = Promise.resolve();
-  /** The address of the host that holds each bill. */
+  /** Address of the host that holds each bill, by bill id. */
   private readonly holderByBill = new Map<string, string>();
 
   constructor(private readonly options: Options) {}
 
-  /** True when a second host holds the bill. */
+  /** Resolves to true when a second host holds the bill. */
   replicate(bill: Bill): Promise<boolean> {
     if (!this.nextBatch) {
       const bills: Bill[] = [];
@@ -47,7 +47,7 @@
     return this.nextBatch.done;
   }
 
-  /** Lets the holders drop bills that stand in the log. */
+  /** Tells the holders to drop bills that are in the log. */
   async releaseHolders(ids: readonly string[]): Promise<void> {
     const byHolder = new Map<string, string[]>();
     for (const id of ids) {
@@ -56,15 +56,15 @@
       this.holderByBill.delete(id);
       byHolder.set(holder, [...(byHolder.get(holder) ?? []), id]);
     }
-    const calls = [...byHolder].map(([address, settled]) =>
+    const calls = [...byHolder].map(([address, settledIds]) =>
       this.options.client
-        .call(address, billMethods.settled, {ids: settled})
+        .call(address, billMethods.settled, {ids: settledIds})
         .catch(() => undefined),
     );
     await Promise.all(calls);
   }
 
-  /** Gives bills to another host as its own; true when it took them. */
+  /** Transfers ownership of bills to another host; true when one accepted them. */
   async handOff(bills: readonly Bill[]): Promise<boolean> {
     return (
       (await this.sendToAnyPeer(billMethods.adopt, {bills: [...bills]})) !==
@@ -86,7 +86,7 @@
     return true;
   }
 
-  /** Gives the address of the host that took the bills, or nothing. */
+  /** Sends bills to the candidates in turn; returns the address of the first that accepts them. */
   private async sendToAnyPeer(
     method: string,
     params: object,
@@ -105,17 +105,19 @@
 
   private listCandidates(): Peer[] {
     const {membership, identity} = this.options;
-    const inside = this.rotateRandomly(membership.listAvailablePeers()).slice(
+    const local = this.rotateRandomly(membership.listAvailablePeers()).slice(
       0,
       MAX_LOCAL_TRIES,
     );
-    const others = membership.listDigests().flatMap(digest => digest.hosts);
-    const staying = others.filter(host => !host.leaving);
-    const outside = this.rotateRandomly(staying).slice(0, MAX_REMOTE_TRIES);
-    const leaving = membership
+    const remoteHosts = membership
+      .listDigests()
+      .flatMap(digest => digest.hosts);
+    const staying = remoteHosts.filter(host => !host.leaving);
+    const remote = this.rotateRandomly(staying).slice(0, MAX_REMOTE_TRIES);
+    const leavingPeers = membership
       .listAlive()
       .filter(entry => entry.leaving && entry.id !== identity.id);
-    return [...inside, ...outside, ...leaving.slice(0, 1)];
+    return [...local, ...remote, ...leavingPeers.slice(0, 1)];
   }
 
   private rotateRandomly<T>(items: readonly T[]): T[] {
--- a/packages/daemon/src/billing/billing_plugin.ts
+++ b/packages/daemon/src/billing/billing_plugin.ts
@@ -7,17 +7,17 @@
 const billingSection = {
   name: 'billing',
   shape: z.strictObject({
-    /** How often bills go to the log. */
+    /** How often pending bills are appended to the log. */
     flush: fields.duration('3s'),
-    /** Bills that may wait for the log; above it no new work is begun. */
+    /** Bills, own and held for peers, that may wait to be appended; at this number new work is refused. */
     waiting: fields.number(200_000),
-    /** How long an answer whose bill no host takes waits for the log. */
+    /** How long an answer waits for the append when no peer accepts its bill. */
     'append-wait': fields.duration('1s'),
-    /** How long a stop tries to place its bills in the log or at a peer. */
+    /** How long shutdown tries to append the remaining bills or to hand them to a peer. */
     'stop-wait': fields.duration('30s'),
-    /** After this time the bills of a process that is not heard of are adopted by their holder. */
+    /** How long a holder keeps the bills of a process that the membership does not list before it adopts them. */
     'adopt-after': fields.duration('20s'),
-    /** How long a peer may take to hold a bill. */
+    /** Timeout of the call that replicates bills to a peer. */
     'hold-timeout': fields.duration('500ms'),
   }),
 };
@@ -39,7 +39,7 @@
       client: container.get(daemonTokens.peerClient),
       timeoutMs: section['hold-timeout'],
     });
-    const keeper = new BillRecorder({
+    const recorder = new BillRecorder({
       random,
       logger,
       identity,
@@ -48,7 +48,7 @@
       clock: container.get(tokens.clock),
       metrics: container.get(tokens.metrics),
       log: container.get(daemonTokens.log),
-      seal: container.get(daemonTokens.sealers).records,
+      sealer: container.get(daemonTokens.sealers).records,
       methods: container.get(daemonTokens.peerMethods),
       flushIntervalMs: section.flush,
       appendTimeoutMs: section['append-wait'],
@@ -56,8 +56,8 @@
       adoptAfterMs: section['adopt-after'],
       maxPending: section.waiting,
     });
-    container.bind(daemonTokens.billRecorder).toConstantValue(keeper);
-    container.bind(tokens.service).toConstantValue(keeper);
+    container.bind(daemonTokens.billRecorder).toConstantValue(recorder);
+    container.bind(tokens.service).toConstantValue(recorder);
   },
 };
 
