--- a/packages/daemon/src/configuration/configuration_follower.ts
+++ b/packages/daemon/src/configuration/configuration_follower.ts
@@ -26,12 +26,12 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly store: ConfigurationStore;
   readonly freshness: LogFreshness;
-  /** How long one read waits for a record, in ms. */
+  /** Long-poll timeout of one read of the log, in ms. */
   readonly pollMs: number;
-  /** Planted when the log has never held a record. */
+  /** Appended when the log has never held a record. */
   readonly seed?: Seed;
   readonly onSnapshot: (upTo: number) => void;
 }
@@ -40,7 +40,7 @@
 const MAX_BACKOFF_MS = 5_000;
 const MAX_SEED_DELAY_MS = 200;
 
-/** Follows the configuration stream and puts each record in force. */
+/** Tails the log's configuration stream and applies each record to the store. */
 export class ConfigurationFollower implements Service {
   readonly name = 'configuration follower';
   private readonly stopping = new AbortController();
@@ -62,7 +62,7 @@
       maxMs: MAX_BACKOFF_MS,
     });
     this.reader = new ConfigurationReader({
-      seal: options.seal,
+      sealer: options.sealer,
       onSnapshot: options.onSnapshot,
       onRefused: (offset, why) => {
         refused.inc({why});
@@ -98,7 +98,10 @@
     await this.loop;
   }
 
-  /** Takes over a peer's later state and reads on from there; false when it is not later or does not fit. */
+  /**
+   * Applies a peer's state and continues to read after it. Returns false when the
+   * state is not newer or does not join up with the records already read.
+   */
   applyPeerState(state: Configuration): boolean {
     const {store} = this.options;
     if (
@@ -133,7 +136,7 @@
     }
   }
 
-  /** Reads the log once, beside the loop, without waiting for a record. */
+  /** Reads the log once, concurrently with the loop, without waiting for a record. */
   async readOnce(timeoutMs: number): Promise<void> {
     const timeout = timeoutSignal(this.options.clock, timeoutMs);
     try {
@@ -182,12 +185,12 @@
   }
 
   private async appendSeed(): Promise<void> {
-    const {clock, random, log, seal, seed} = this.options;
+    const {clock, random, log, sealer, seed} = this.options;
     await sleep(clock, MAX_SEED_DELAY_MS * random.next(), this.stopping.signal);
     if (!seed) return;
     const page = await log.read(configurationStream, 0, {waitMs: 0});
     if (page.next > 0) return;
     const record = {type: 'seed', id: randomUUID(), seed};
-    await log.append(configurationStream, [seal.seal(record)]);
+    await log.append(configurationStream, [sealer.seal(record)]);
   }
 }
--- a/packages/daemon/src/configuration/configuration_plugin.ts
+++ b/packages/daemon/src/configuration/configuration_plugin.ts
@@ -18,23 +18,23 @@
 import {StalenessGuard} from './staleness_guard.js';
 import {SnapshotWriter} from './snapshot_writer.js';
 
-/** Settings of the configuration that comes from the log. */
+/** Settings of the configuration that is read from the log. */
 export const configurationSection = {
   name: 'configuration',
   shape: z.strictObject({
-    /** A JSON file that is planted when the log has never held a record. */
+    /** A JSON file with the initial configuration; appended when the log has never held a record. */
     seed: z.string().optional(),
-    /** How long one read of the log waits for a record. */
+    /** Long-poll timeout of one read of the log. */
     poll: fields.duration('3s'),
-    /** How old the newest snapshot may become; well inside the log's retention. */
+    /** Maximum age of the newest snapshot; has to be well within the log's retention. */
     'snapshot-every': fields.duration('10m'),
-    /** Past this age of the configuration the host counts as cut off from it. */
+    /** Maximum age of the configuration; above it the host is stale and counts as cut off. */
     'fresh-for': fields.duration('15s'),
-    /** How long a host that finds its configuration old waits for a newer one before it counts as cut off. */
+    /** How long a host with a stale configuration waits for a read of the log before it counts as cut off. */
     'refresh-timeout': fields.duration('700ms'),
-    /** How long it then goes on without asking again. */
+    /** Minimum delay between a failed refresh and the next one. */
     'refresh-pause': fields.duration('2s'),
-    /** How long a confirmed intent's verdict is waited for. */
+    /** How long a confirmation waits for the verdict on its intent. */
     'verdict-timeout': fields.duration('6s'),
   }),
 };
@@ -49,17 +49,17 @@
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
     const log = container.get(daemonTokens.log);
-    const seal = container.get(daemonTokens.sealers).records;
+    const sealer = container.get(daemonTokens.sealers).records;
     const freshness = container.get(daemonTokens.freshness);
     const membership = container.get(daemonTokens.membership);
-    const ownState = container.get(daemonTokens.localHostState);
+    const localHostState = container.get(daemonTokens.localHostState);
     const store = new ConfigurationStore(clock);
-    const snapshots = new SnapshotWriter({
+    const snapshotWriter = new SnapshotWriter({
       clock,
       random,
       logger,
       log,
-      seal,
+      sealer,
       store,
       maxAgeMs: section['snapshot-every'],
     });
@@ -69,14 +69,14 @@
       logger,
       metrics,
       log,
-      seal,
+      sealer,
       store,
       freshness,
       pollMs: section.poll,
       seed: section.seed ? readSeed(section.seed) : undefined,
-      onSnapshot: () => snapshots.recordSnapshot(),
+      onSnapshot: () => snapshotWriter.recordSnapshot(),
     });
-    const catchUp = new ConfigurationFetcher({
+    const fetcher = new ConfigurationFetcher({
       freshness,
       clock,
       random,
@@ -90,8 +90,10 @@
       onApplied: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: settings.one(peersSection).interval,
     });
-    ownState.addContributor(() => ({offset: store.current.offset}));
-    store.subscribe(() => membership.mergeState(ownState.createState(), true));
+    localHostState.addContributor(() => ({offset: store.current.offset}));
+    store.subscribe(() =>
+      membership.mergeState(localHostState.createState(), true),
+    );
     container.bind(daemonTokens.configurationStore).toConstantValue(store);
     container.bind(daemonTokens.stalenessGuard).toConstantValue(
       new StalenessGuard({
@@ -100,7 +102,7 @@
         staleAfterMs: section['fresh-for'],
         refreshers: [
           () => follower.readOnce(section['refresh-timeout']),
-          () => catchUp.fetchFromRandomPeer(),
+          () => fetcher.fetchFromRandomPeer(),
         ],
         retryDelayMs: section['refresh-pause'],
       }),
@@ -111,12 +113,12 @@
         random,
         logger,
         log,
-        seal,
+        sealer,
         store,
         timeoutMs: section['verdict-timeout'],
       }),
     );
-    for (const service of [follower, snapshots, catchUp])
+    for (const service of [follower, snapshotWriter, fetcher])
       container.bind(tokens.service).toConstantValue(service);
   },
 };
--- a/packages/daemon/src/configuration/configuration_reader.ts
+++ b/packages/daemon/src/configuration/configuration_reader.ts
@@ -9,26 +9,26 @@
 import type {Sealer} from '@bayspool/decisions';
 
 interface Options {
-  readonly seal: Sealer;
-  /** Told of each record that was refused. */
-  readonly onRefused: (offset: number, why: string) => void;
-  /** Told of each snapshot that was seen, with the offset it covers. */
+  readonly sealer: Sealer;
+  /** Called for each record that is refused. */
+  readonly onRefused: (offset: number, reason: string) => void;
+  /** Called for each snapshot that is read, with the offset up to which it covers. */
   readonly onSnapshot: (upTo: number) => void;
 }
 
-/** What the reader has come to. */
+/** The state after a page and where to continue. */
 interface Progress {
   readonly config: Configuration;
-  /** The offset to read next. */
+  /** The next offset to read. */
   readonly nextOffset: number;
-  /** Whether records are missing between the state and the log's oldest one. */
+  /** Whether records between the state and the log's oldest record are missing. */
   readonly hasGap: boolean;
 }
 
 /**
- * Turns pages of the configuration stream into states. When records were lost to
- * expiry before they were read, it goes on from the next snapshot that covers the
- * hole, and keeps the state as it is until then.
+ * Folds pages of the configuration stream into states. When records expired before
+ * they were read, it keeps the state and buffers the following records until a
+ * snapshot covers the gap.
  */
 export class ConfigurationReader {
   private pendingRecords: LogRecord[] = [];
@@ -36,28 +36,31 @@
   constructor(private readonly options: Options) {}
 
   foldPage(config: Configuration, position: number, page: LogPage): Progress {
-    const fresh = page.records.filter(record => record.offset >= position);
-    const next =
-      fresh.length > 0
-        ? fresh[fresh.length - 1].offset + 1
+    const unread = page.records.filter(record => record.offset >= position);
+    const nextOffset =
+      unread.length > 0
+        ? unread[unread.length - 1].offset + 1
         : Math.max(position, page.first);
-    const contiguous =
+    const isContiguous =
       this.pendingRecords.length === 0 &&
-      (fresh[0]?.offset ?? page.first) <= config.offset + 1;
-    if (contiguous)
+      (unread[0]?.offset ?? page.first) <= config.offset + 1;
+    if (isContiguous)
       return {
-        config: this.foldAll(config, fresh),
-        nextOffset: next,
+        config: this.foldAll(config, unread),
+        nextOffset,
         hasGap: false,
       };
-    this.pendingRecords.push(...fresh);
+    this.pendingRecords.push(...unread);
     const restored = this.restoreFromSnapshot(config);
-    if (!restored) return {config, nextOffset: next, hasGap: true};
+    if (!restored) return {config, nextOffset, hasGap: true};
     this.pendingRecords = [];
-    return {config: restored, nextOffset: next, hasGap: false};
+    return {config: restored, nextOffset, hasGap: false};
   }
 
-  /** The state was replaced by a peer's; what it covers need not be kept. */
+  /**
+   * Drops buffered records that a peer's state covers. Returns whether the remaining
+   * ones follow that state without a gap.
+   */
   discardCovered(config: Configuration): boolean {
     this.pendingRecords = this.pendingRecords.filter(
       record => record.offset > config.offset,
@@ -68,7 +71,7 @@
     );
   }
 
-  /** Folds what was kept onto a state that covers everything before it. */
+  /** Folds the buffered records onto a state that covers everything before them. */
   foldPending(config: Configuration): Configuration {
     const folded = this.foldAll(config, this.pendingRecords);
     this.pendingRecords = [];
@@ -117,7 +120,7 @@
   }
 
   private decode(record: LogRecord): ConfigRecord | undefined {
-    const opened = this.options.seal.open(record.value);
+    const opened = this.options.sealer.open(record.value);
     if (opened.isLeft()) {
       this.options.onRefused(record.offset, String(opened.extract()));
       return undefined;
--- a/packages/daemon/src/configuration/configuration_store.ts
+++ b/packages/daemon/src/configuration/configuration_store.ts
@@ -7,7 +7,7 @@
 
 type Listener = (config: Configuration) => void;
 
-/** The configuration in force at this host. Its offset only grows. */
+/** Holds the configuration in force at this host. Its offset only increases. */
 export class ConfigurationStore {
   private config: Configuration = emptyConfiguration;
   private readonly listeners = new Set<Listener>();
@@ -18,12 +18,12 @@
     return this.config;
   }
 
-  /** Whether there is a configuration to serve from. */
+  /** Whether a configuration has been read. */
   get isReady(): boolean {
     return this.config.offset >= 0;
   }
 
-  /** Puts a later state in force; an earlier one is ignored and gives false. */
+  /** Applies a newer state; returns false and ignores one that is not newer. */
   advance(next: Configuration): boolean {
     if (next.offset <= this.config.offset) return false;
     this.config = next;
@@ -31,7 +31,7 @@
     return true;
   }
 
-  /** Calls `listener` after each change; the result ends that. */
+  /** Calls `listener` after each change. Returns a function that unsubscribes it. */
   subscribe(listener: Listener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -41,7 +41,7 @@
     return this.config.verdicts.find(verdict => verdict.intentId === intentId);
   }
 
-  /** Waits until the intent's record was folded; nothing when it was not within `timeoutMs`. */
+  /** Waits until the intent's record has been folded; resolves to undefined after `timeoutMs`. */
   waitForVerdict(
     intentId: string,
     timeoutMs: number,
--- a/packages/daemon/src/configuration/configuration_stream.ts
+++ b/packages/daemon/src/configuration/configuration_stream.ts
@@ -1,2 +1,2 @@
-/** The log's stream that carries the configuration. */
+/** Name of the log's stream of configuration records. */
 export const configurationStream = 'configuration';
--- a/packages/daemon/src/configuration/intent_submitter.ts
+++ b/packages/daemon/src/configuration/intent_submitter.ts
@@ -19,9 +19,9 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly store: ConfigurationStore;
-  /** How long a verdict is waited for, in ms. */
+  /** How long to wait for a verdict, in ms. */
   readonly timeoutMs: number;
 }
 
@@ -29,19 +29,20 @@
 const MAX_BACKOFF_MS = 1_000;
 
 /**
- * Appends confirmed plans to the log. The verdict is what is read back; an append
- * whose reply was lost is sent again with the same id, which the fold ignores.
+ * Appends confirmed plans to the log and waits for the verdict that is read back. An
+ * append that fails is retried with the same id, so the fold ignores a duplicate
+ * when only the reply was lost.
  */
 export class IntentSubmitter {
   constructor(private readonly options: Options) {}
 
-  /** Gives the verdict, or nothing when the log did not show one in time. */
+  /** Resolves to the verdict, or to undefined when none was read from the log in time. */
   async submit(
     plan: IntentPlan,
     by: string,
   ): Promise<IntentVerdict | undefined> {
-    const {clock, random, log, seal, store, logger, timeoutMs} = this.options;
-    const value = seal.seal({
+    const {clock, random, log, sealer, store, logger, timeoutMs} = this.options;
+    const value = sealer.seal({
       type: 'intent',
       id: plan.id,
       intent: plan.intent,
--- a/packages/daemon/src/configuration/snapshot_writer.ts
+++ b/packages/daemon/src/configuration/snapshot_writer.ts
@@ -16,17 +16,17 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly store: ConfigurationStore;
-  /** How old the newest snapshot may become, in ms; well inside the log's retention. */
+  /** Maximum age of the newest snapshot, in ms; has to be well within the log's retention. */
   readonly maxAgeMs: number;
 }
 
 const CHECKS_PER_MAX_AGE = 10;
 
 /**
- * Appends a snapshot when the newest one seen is old. Every host does so after a
- * random delay and none when another was first; two are harmless.
+ * Appends a snapshot when the newest one read is too old. Every host waits a random
+ * extra time and skips it when another host was first; duplicates are harmless.
  */
 export class SnapshotWriter implements Service {
   readonly name = 'snapshot writer';
@@ -38,7 +38,7 @@
     this.lastSnapshotAt = options.clock.now();
   }
 
-  /** A snapshot was read from the log. */
+  /** Records that a snapshot was read from the log. */
   recordSnapshot(): void {
     this.lastSnapshotAt = this.options.clock.now();
   }
@@ -53,22 +53,22 @@
   }
 
   private async run(): Promise<void> {
-    const {clock, random, maxAgeMs: everyMs} = this.options;
+    const {clock, random, maxAgeMs} = this.options;
     for (;;) {
       await sleep(
         clock,
-        jitter(random, everyMs / CHECKS_PER_MAX_AGE),
+        jitter(random, maxAgeMs / CHECKS_PER_MAX_AGE),
         this.stopping.signal,
       );
       if (this.stopping.signal.aborted) return;
-      const due =
-        clock.now() - this.lastSnapshotAt >= everyMs * (1 + random.next() / 2);
-      if (due && this.options.store.isReady) await this.appendSnapshot();
+      const isDue =
+        clock.now() - this.lastSnapshotAt >= maxAgeMs * (1 + random.next() / 2);
+      if (isDue && this.options.store.isReady) await this.appendSnapshot();
     }
   }
 
   private async appendSnapshot(): Promise<void> {
-    const {log, seal, store, logger} = this.options;
+    const {log, sealer, store, logger} = this.options;
     const state = store.current;
     const record = {
       type: 'snapshot',
@@ -78,7 +78,7 @@
       state,
     };
     try {
-      await log.append(configurationStream, [seal.seal(record)]);
+      await log.append(configurationStream, [sealer.seal(record)]);
       this.recordSnapshot();
       logger.info('snapshot appended', {upTo: state.offset});
     } catch (error) {
--- a/packages/daemon/src/configuration/staleness_guard.ts
+++ b/packages/daemon/src/configuration/staleness_guard.ts
@@ -4,18 +4,18 @@
 interface Options {
   readonly clock: Clock;
   readonly freshness: LogFreshness;
-  /** Past this age of the configuration the host counts as cut off from it, in ms. */
+  /** Maximum age of the configuration, in ms; above it the host is stale. */
   readonly staleAfterMs: number;
-  /** Tries to read the log, and to hear from peers, once and at once. */
+  /** One attempt each to read the log and to ask a peer; run concurrently. */
   readonly refreshers: readonly (() => Promise<void>)[];
-  /** After a refresh that failed the next one waits for this long, in ms. */
+  /** Minimum delay between a failed refresh and the next one, in ms. */
   readonly retryDelayMs: number;
 }
 
 /**
- * Whether this host can no longer tell if its configuration is the newest. A
- * process that was paused finds its knowledge old when it wakes; it refreshes it
- * before it serves, and only one that cannot counts as cut off.
+ * Detects that this host can no longer tell whether its configuration is the newest.
+ * A process that was paused is stale when it resumes: it refreshes before it serves,
+ * and counts as cut off only when the refresh fails.
  */
 export class StalenessGuard {
   private pendingRefresh: Promise<void> | undefined;
@@ -27,7 +27,7 @@
     return this.options.freshness.computeAgeMs() > this.options.staleAfterMs;
   }
 
-  /** Resolves when the configuration is fresh, or when it cannot be made so now. */
+  /** Resolves when the configuration is fresh or a refresh has failed; at once within `retryDelayMs` of a failure. */
   async refreshIfStale(): Promise<void> {
     if (!this.isStale()) return;
     if (
