--- a/packages/daemon/src/host/cluster_sealers.ts
+++ b/packages/daemon/src/host/cluster_sealers.ts
@@ -6,13 +6,13 @@
 } from '@bayspool/decisions';
 
 interface Options {
-  /** Shared by all hosts: sessions, as `id:secret,…`. */
+  /** Keys for sessions, the same on all hosts, as `id:secret,…`. */
   readonly sessions: string;
-  /** Shared by all hosts: peers, log records, plans and tickets, as `id:secret,…`. */
+  /** Keys for peer messages, log records, plans and tickets, the same on all hosts, as `id:secret,…`. */
   readonly cluster: string;
 }
 
-/** The seals that the hosts of a fleet share. */
+/** One sealer for each purpose, made from the keys that all hosts share. */
 export class ClusterSealers {
   readonly sessions: SessionSealer;
   readonly tickets: TicketSealer;
--- a/packages/daemon/src/host/host_identity.ts
+++ b/packages/daemon/src/host/host_identity.ts
@@ -1,13 +1,13 @@
-/** Who this process is. */
+/** Identifies this process among the hosts of the fleet. */
 export interface HostIdentity {
   readonly id: string;
   readonly place: string;
-  /** Names this process; a successor on the same host has another. */
+  /** Random id of this process; its successor on the same host has another one. */
   readonly boot: string;
-  /** Orders the processes of one host. */
+  /** Increases from one process of a host to the next. */
   readonly incarnation: number;
-  /** Where peers reach it, as `10.0.0.7:7100`. */
+  /** Address at which peers reach it, such as `10.0.0.7:7100`. */
   readonly peerAddress: string;
-  /** Where its peer door listens. */
+  /** Address on which its peer server listens. */
   readonly peerListen: string;
 }
--- a/packages/daemon/src/host/host_plugin.ts
+++ b/packages/daemon/src/host/host_plugin.ts
@@ -8,27 +8,27 @@
   host: {
     name: 'host',
     shape: z.strictObject({
-      /** This host's name, unique in the fleet. */
+      /** Name of this host, unique in the fleet. */
       id: z
         .string()
         .regex(
           /^[a-z0-9][a-z0-9-]{0,62}$/,
           'needs a name of lower-case letters, digits and hyphens',
         ),
-      /** The place where it stands. */
+      /** The place (availability zone) of this host. */
       place: z.string().min(1, "needs the name of the host's place"),
-      /** Where peers reach this host. */
+      /** Address at which peers reach this host. */
       'peer-address': fields.endpoint(),
-      /** Where the peer door listens, if that is not the address that peers use. */
+      /** Address on which the peer server listens, when it differs from `peer-address`. */
       'peer-listen': fields.endpoint().optional(),
     }),
   },
   secrets: {
     name: 'secrets',
     shape: z.strictObject({
-      /** Seals sessions: `new-id:new-secret,old-id:old-secret`. */
+      /** Keys that seal sessions: `new-id:new-secret,old-id:old-secret`. */
       sessions: fields.secret(),
-      /** Seals peers' messages, log records, plans and tickets. */
+      /** Keys that seal peer messages, log records, plans and tickets. */
       cluster: fields.secret(),
     }),
   },
--- a/packages/daemon/src/leaving/leaving_plugin.ts
+++ b/packages/daemon/src/leaving/leaving_plugin.ts
@@ -7,9 +7,9 @@
 const leavingSection = {
   name: 'leaving',
   shape: z.strictObject({
-    /** How long a leaving host still takes work, so that the balancer sees it first. */
+    /** How long a leaving host still accepts work, so that the load balancer notices first. */
     notice: fields.duration('3s'),
-    /** How often the platform's list of hosts is read. */
+    /** How often the platform's roster of hosts is read. */
     'roster-interval': fields.duration('2s'),
   }),
 };
@@ -20,7 +20,7 @@
   install(container, settings) {
     const section = settings.one(leavingSection);
     const clock = container.get(tokens.clock);
-    const leaving = new LeavingState({
+    const leavingState = new LeavingState({
       clock,
       hostId: container.get(daemonTokens.hostIdentity).id,
       store: container.get(daemonTokens.configurationStore),
@@ -28,8 +28,8 @@
     });
     container
       .get(daemonTokens.localHostState)
-      .addContributor(() => ({leaving: leaving.isLeaving()}));
-    container.bind(daemonTokens.leavingState).toConstantValue(leaving);
+      .addContributor(() => ({leaving: leavingState.isLeaving()}));
+    container.bind(daemonTokens.leavingState).toConstantValue(leavingState);
     if (!container.isBound(daemonTokens.roster)) return;
     container.bind(tokens.service).toConstantValue(
       new RosterPoller({
@@ -37,7 +37,7 @@
         random: container.get(tokens.random),
         logger: container.get(tokens.logger),
         roster: container.get(daemonTokens.roster),
-        leaving,
+        leavingState,
         intervalMs: section['roster-interval'],
       }),
     );
--- a/packages/daemon/src/leaving/leaving_state.ts
+++ b/packages/daemon/src/leaving/leaving_state.ts
@@ -5,11 +5,11 @@
   readonly clock: Clock;
   readonly hostId: string;
   readonly store: ConfigurationStore;
-  /** For how long a leaving host still takes work, so that the balancer sees it first, in ms. */
+  /** How long a leaving host still accepts work, so that the load balancer notices first, in ms. */
   readonly gracePeriodMs: number;
 }
 
-/** Whether this host is leaving: told by a signal, by an operator's intent or by the platform's list. */
+/** Whether this host is leaving: after a signal, by an operator's drain intent or because the platform's roster says so. */
 export class LeavingState {
   private isShuttingDown = false;
   private listedIds: ReadonlySet<string> = new Set();
@@ -17,13 +17,16 @@
 
   constructor(private readonly options: Options) {}
 
-  /** The process was asked to end. */
+  /** Marks the host as leaving because the process was asked to end. */
   beginShutdown(): void {
     this.isShuttingDown = true;
     this.update();
   }
 
-  /** The platform lists these hosts and runners as leaving. The list lags, so absence means nothing. */
+  /**
+   * Records the hosts and runners that the platform's roster marks as leaving. The
+   * roster lags, so an absent id says nothing.
+   */
   updateListed(ids: ReadonlySet<string>): void {
     this.listedIds = ids;
     this.update();
@@ -38,7 +41,7 @@
     return this.listedIds.has(id);
   }
 
-  /** Whether the notice is over and new work is refused. */
+  /** Whether the grace period is over and new work is refused. */
   rejectsNewWork(): boolean {
     return (
       this.isLeaving() &&
@@ -53,11 +56,11 @@
 
   private update(): void {
     const {clock, hostId, store} = this.options;
-    const leaving =
+    const isLeaving =
       this.isShuttingDown ||
       this.listedIds.has(hostId) ||
       Boolean(store.current.drained[`host/${hostId}`]);
-    if (!leaving) this.leavingSince = undefined;
+    if (!isLeaving) this.leavingSince = undefined;
     else this.leavingSince ??= clock.now();
   }
 }
--- a/packages/daemon/src/leaving/roster_poller.ts
+++ b/packages/daemon/src/leaving/roster_poller.ts
@@ -14,13 +14,13 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly roster: Roster;
-  readonly leaving: LeavingState;
+  readonly leavingState: LeavingState;
   readonly intervalMs: number;
 }
 
-/** Reads the platform's list of hosts. When it cannot be read, the last one stands. */
+/** Polls the platform's roster of hosts. When a read fails, the last roster stays in force. */
 export class RosterPoller implements Service {
-  readonly name = 'roster watcher';
+  readonly name = 'roster poller';
   private readonly stopping = new AbortController();
   private loop: Promise<void> = Promise.resolve();
 
@@ -44,10 +44,10 @@
   }
 
   private async poll(): Promise<void> {
-    const {roster, leaving, logger} = this.options;
+    const {roster, leavingState, logger} = this.options;
     try {
       const entries = await roster.list(this.stopping.signal);
-      leaving.updateListed(
+      leavingState.updateListed(
         new Set(entries.filter(entry => entry.leaving).map(entry => entry.id)),
       );
     } catch (error) {
