--- a/packages/daemon/src/operators/authenticate_operator.ts
+++ b/packages/daemon/src/operators/authenticate_operator.ts
@@ -4,7 +4,7 @@
 
 const SCHEME = 'Bearer ';
 
-/** The name of the operator whose key was sent. All keys are compared, each in constant time. */
+/** Finds the operator whose key was sent. Compares all keys, each in constant time. */
 export function authenticateOperator(
   keys: readonly OperatorKey[],
   authorization: string | undefined,
@@ -14,9 +14,10 @@
     hashAccessKey(authorization.slice(SCHEME.length)),
     'hex',
   );
-  let found: string | undefined;
+  let operator: string | undefined;
   for (const key of keys) {
-    if (timingSafeEqual(hash, Buffer.from(key.hash, 'hex'))) found = key.name;
+    if (timingSafeEqual(hash, Buffer.from(key.hash, 'hex')))
+      operator = key.name;
   }
-  return found;
+  return operator;
 }
--- a/packages/daemon/src/operators/create_fleet_status.ts
+++ b/packages/daemon/src/operators/create_fleet_status.ts
@@ -14,7 +14,7 @@
   readonly pool: RunnerPool;
 }
 
-/** `GET /status`: the fleet as this host sees it. */
+/** Creates the body of `GET /status`: the fleet as this host sees it. */
 export function createFleetStatus(options: Options): object {
   const {identity, config, membership, freshness, pool} = options;
   const age = freshness.computeAgeMs();
@@ -32,7 +32,7 @@
           (sum, count) => sum + count,
           0,
         ),
-        /** How many hosts have each offset in force. */
+        /** Number of hosts by the configuration offset in force there. */
         offsets: digest.sums.offsets,
         hosts: digest.hosts.map(({id, leaving}) => ({id, leaving})),
       }),
--- a/packages/daemon/src/operators/create_intent_status.ts
+++ b/packages/daemon/src/operators/create_intent_status.ts
@@ -12,23 +12,23 @@
   readonly verdict: IntentVerdict;
 }
 
-/** What an operator sees of an intent. */
+/** The body of `GET /intents/ID`. */
 interface IntentStatus extends IntentVerdict {
   readonly places: readonly PlaceProgress[];
-  /** Requests still running that the intent waits for. */
+  /** Running requests that have to finish before the intent is done. */
   readonly running: number;
   readonly done: boolean;
   readonly waits_for: readonly string[];
 }
 
-/** Works out how far an intent has come: where it is in force, what still runs, and what it waits for. */
+/** Computes the progress of an intent: where it is in force, what still runs and what it waits for. */
 export function createIntentStatus(options: Options): IntentStatus {
   const {config, membership, verdict} = options;
   const places = verdict.accepted
     ? createPlaceProgress(config, membership, verdict.offset)
     : [];
   const running = verdict.accepted ? countRunningRequests(options) : 0;
-  const waits = [
+  const reasons = [
     ...places.flatMap(describePlaceWaits),
     ...describeRequestWaits(verdict, running),
     ...describeRolloutWaits(config, verdict),
@@ -37,8 +37,8 @@
     ...verdict,
     places,
     running,
-    done: verdict.accepted ? waits.length === 0 : true,
-    waits_for: waits,
+    done: verdict.accepted ? reasons.length === 0 : true,
+    waits_for: reasons,
   };
 }
 
@@ -80,7 +80,7 @@
     : [];
 }
 
-/** Work that has to finish before a place, host or runner is empty. */
+/** Counts the requests that have to finish before a handed-over place or a drained host is empty. */
 function countRunningRequests({config, membership, verdict}: Options): number {
   const digests = [membership.createOwnDigest(), ...membership.listDigests()];
   if (
--- a/packages/daemon/src/operators/intent_planner.ts
+++ b/packages/daemon/src/operators/intent_planner.ts
@@ -14,13 +14,13 @@
 interface Options {
   readonly clock: Clock;
   readonly store: ConfigurationStore;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly submitter: IntentSubmitter;
-  /** How long a plan may be confirmed, in ms. */
+  /** How long a plan can be confirmed, in ms. */
   readonly planTtlMs: number;
 }
 
-/** A plan as the operator gets it; `plan` is what is sent back to confirm it. */
+/** A plan as returned to the operator, who sends `plan` back to confirm it. */
 interface SealedPlan {
   readonly id: string;
   readonly plan: string;
@@ -31,7 +31,7 @@
   readonly lapses_in_ms: number;
 }
 
-/** The answer to a confirmation. */
+/** The response to a confirmation. */
 interface Confirmation {
   readonly verdict: 'accepted' | 'rejected' | 'unknown';
   readonly id: string;
@@ -49,40 +49,43 @@
   lapsesAt: z.number(),
 });
 
-/** Plans intents and takes confirmations. Plans are sealed, so any host takes the confirmation and none remembers it. */
+/**
+ * Plans intents and confirms plans. A plan is sealed and carries its whole content, so
+ * any host can confirm it and none stores it.
+ */
 export class IntentPlanner {
   constructor(private readonly options: Options) {}
 
   plan(raw: unknown): SealedPlan {
-    const {clock, store, seal, planTtlMs: planLifeMs} = this.options;
+    const {clock, store, sealer, planTtlMs} = this.options;
     if (!store.isReady) throw createNotReadyProblem();
     const intent = parseIntent(raw);
-    const lapsesAt = clock.wall() + planLifeMs;
-    const planned = planIntent({
+    const lapsesAt = clock.wall() + planTtlMs;
+    const result = planIntent({
       config: store.current,
       intent,
       id: randomUUID(),
       lapsesAt,
     });
-    const plan: IntentPlan = planned.caseOf({
+    const plan: IntentPlan = result.caseOf({
       Left: problem => {
         throw problem;
       },
-      Right: made => made,
+      Right: value => value,
     });
     return {
       id: plan.id,
-      plan: seal.seal(plan),
+      plan: sealer.seal(plan),
       kind: intent.kind,
       steps: plan.steps,
       hazards: plan.hazards,
       basis: plan.basis,
-      lapses_in_ms: planLifeMs,
+      lapses_in_ms: planTtlMs,
     };
   }
 
-  async confirm(text: string, operator: string): Promise<Confirmation> {
-    const plan = this.openPlan(text);
+  async confirm(sealed: string, operator: string): Promise<Confirmation> {
+    const plan = this.openPlan(sealed);
     const known = this.options.store.findVerdict(plan.id);
     if (known) return toConfirmation(known);
     if (plan.lapsesAt < this.options.clock.wall())
@@ -96,8 +99,8 @@
     };
   }
 
-  private openPlan(text: string): IntentPlan {
-    const opened = this.options.seal.open(text);
+  private openPlan(sealed: string): IntentPlan {
+    const opened = this.options.sealer.open(sealed);
     const parsed = planSchema.safeParse(opened.orDefault(undefined));
     if (!parsed.success) throw createInvalidPlanProblem();
     return parsed.data;
--- a/packages/daemon/src/operators/operator_key.ts
+++ b/packages/daemon/src/operators/operator_key.ts
@@ -1,6 +1,6 @@
-/** An operator's access key, of which only the hash is known. */
+/** An operator's access key; only its hash is stored. */
 export interface OperatorKey {
   readonly name: string;
-  /** SHA-256 in hex. */
+  /** SHA-256 of the key, in hex. */
   readonly hash: string;
 }
--- a/packages/daemon/src/operators/operator_server.ts
+++ b/packages/daemon/src/operators/operator_server.ts
@@ -46,7 +46,7 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
-/** Where operators file intents and look at the fleet. Callers' keys open nothing here. */
+/** HTTP server on which operators submit intents and inspect the fleet. Callers' keys are not accepted here. */
 export class OperatorServer implements Service {
   readonly name = 'operator door';
   private readonly server: HttpServer;
@@ -124,13 +124,13 @@
   }
 
   private addIntentRoutes(app: Express): void {
-    const {planner: desk, store, membership, logger} = this.options;
+    const {planner, store, membership, logger} = this.options;
     app.post('/intents', (request, response) => {
-      response.status(201).json(desk.plan(request.body));
+      response.status(201).json(planner.plan(request.body));
     });
     app.post('/intents/confirm', async (request, response) => {
       const {operator} = response.locals;
-      const confirmation = await desk.confirm(
+      const confirmation = await planner.confirm(
         String(request.body?.plan ?? ''),
         operator,
       );
--- a/packages/daemon/src/operators/operators_plugin.ts
+++ b/packages/daemon/src/operators/operators_plugin.ts
@@ -8,13 +8,13 @@
   operators: {
     name: 'operators',
     shape: z.strictObject({
-      /** The address that operators use; apart from the callers' one. */
+      /** Address of the operator server; separate from the callers' address. */
       listen: fields.endpoint(),
-      /** How long a plan may be confirmed. */
+      /** How long a plan can be confirmed. */
       'plan-life': fields.duration('10m'),
     }),
   },
-  /** `[operator alice]`: who may file intents. */
+  /** `[operator alice]`: an operator who may submit intents. */
   operator: {
     name: 'operator',
     named: true,
@@ -40,19 +40,19 @@
       ([name, operator]) => ({name, hash: operator['key-hash']}),
     );
     const store = container.get(daemonTokens.configurationStore);
-    const desk = new IntentPlanner({
+    const planner = new IntentPlanner({
       store,
       clock: container.get(tokens.clock),
-      seal: container.get(daemonTokens.sealers).plans,
+      sealer: container.get(daemonTokens.sealers).plans,
       submitter: container.get(daemonTokens.intentSubmitter),
       planTtlMs: section['plan-life'],
     });
-    container.bind(daemonTokens.intentPlanner).toConstantValue(desk);
+    container.bind(daemonTokens.intentPlanner).toConstantValue(planner);
     container.bind(tokens.service).toConstantValue(
       new OperatorServer({
         endpoint: section.listen,
         keys,
-        planner: desk,
+        planner,
         store,
         logger: container.get(tokens.logger),
         metrics: container.get(tokens.metrics),
