--- a/packages/daemon/src/orders/order_dispatcher.ts
+++ b/packages/daemon/src/orders/order_dispatcher.ts
@@ -31,7 +31,7 @@
   readonly pool: RunnerPool;
   readonly lease: PlaceLease;
   readonly weights: WeightStore | undefined;
-  /** How often the lease is looked at and orders are planned, in ms. */
+  /** How often the lease is renewed or requested and orders are planned, in ms. */
   readonly intervalMs: number;
   readonly orderTimeoutMs: number;
 }
@@ -40,15 +40,15 @@
 const MAX_REMEMBERED_ORDERS = 10_000;
 
 /**
- * Gives the orders of this place while it holds the place's lease. Orders follow
- * from the configuration and the runners' reports; loads keep to this place's part
- * of the weight store's rate.
+ * Sends orders to the runners of this place while this host holds the place's lease.
+ * Orders are derived from the configuration and the runners' reports. Loads are rate
+ * limited to this place's share of the weight store's rate.
  */
 export class OrderDispatcher implements Service {
-  readonly name = 'order keeper';
+  readonly name = 'order dispatcher';
   private readonly stopping = new AbortController();
   private readonly ordersTotal: Counter<'desired' | 'result'>;
-  /** When each load may start, on the local clock: the rate's spacing. */
+  /** Earliest time of the next load by the rate limit, on the local clock. */
   private nextLoadAt = -Infinity;
   private readonly lastSentAt = new Map<string, number>();
   private loop: Promise<void> = Promise.resolve();
@@ -118,8 +118,8 @@
   private async reserveSend(order: PlannedOrder): Promise<boolean> {
     const {clock} = this.options;
     const key = `${order.runner} ${order.version} ${order.desired}`;
-    const givenAt = this.lastSentAt.get(key) ?? -Infinity;
-    if (clock.now() - givenAt < MINUTE_MS) return false;
+    const sentAt = this.lastSentAt.get(key) ?? -Infinity;
+    if (clock.now() - sentAt < MINUTE_MS) return false;
     if (order.desired === 'loaded') {
       if (clock.now() < this.nextLoadAt) return false;
       this.nextLoadAt = clock.now() + (await this.computeLoadSpacingMs());
@@ -129,7 +129,7 @@
     return true;
   }
 
-  /** The time between two loads of this place, so that all places together keep to the store's rate. */
+  /** Computes the time between two loads of this place, so that all places together keep to the store's rate. */
   private async computeLoadSpacingMs(): Promise<number> {
     const {weights, store, orderTimeoutMs} = this.options;
     if (!weights) return 0;
--- a/packages/daemon/src/orders/orders_plugin.ts
+++ b/packages/daemon/src/orders/orders_plugin.ts
@@ -7,11 +7,11 @@
 const ordersSection = {
   name: 'orders',
   shape: z.strictObject({
-    /** How often the lease is looked at and orders are planned. */
+    /** How often the lease is renewed or requested and orders are planned. */
     interval: fields.duration('2s'),
-    /** How long the lease of a place holds without a renewal. */
+    /** TTL of the lease of a place. */
     lease: fields.duration('10s'),
-    /** How long one order may take. */
+    /** Timeout of one order to a runner. */
     timeout: fields.duration('3s'),
   }),
 };
@@ -29,7 +29,7 @@
       logger,
       identity,
       log: container.get(daemonTokens.log),
-      seal: container.get(daemonTokens.sealers).records,
+      sealer: container.get(daemonTokens.sealers).records,
       ttlMs: section.lease,
     });
     container.bind(tokens.service).toConstantValue(
--- a/packages/daemon/src/orders/place_lease.test.ts
+++ b/packages/daemon/src/orders/place_lease.test.ts
@@ -6,7 +6,7 @@
 import {PlaceLease} from './place_lease.js';
 
 const TTL_MS = 10_000;
-const seal = new Sealer({
+const sealer = new Sealer({
   keys: [{id: 'k1', secret: 'lease-test-secret'}],
   purpose: 'record',
 });
@@ -26,37 +26,37 @@
     peerAddress: '127.0.0.1:1',
     peerListen: '127.0.0.1:1',
   };
-  return new PlaceLease({clock, logger, identity, log, seal, ttlMs: TTL_MS});
+  return new PlaceLease({clock, logger, identity, log, sealer, ttlMs: TTL_MS});
 }
 
-void test('one of two holds the lease, and the other takes it with a higher token only after the first has stopped', async () => {
+void test('of two hosts one holds the lease, and the other acquires it with a higher token only after the first has stopped', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
   const one = createLease('one', clock, log);
   const two = createLease('two', clock, log);
   await one.renewOrAcquire();
   await two.renewOrAcquire();
-  const first = one.heldToken();
-  assert.notEqual(first, undefined);
+  const firstToken = one.heldToken();
+  assert.notEqual(firstToken, undefined);
   assert.equal(two.heldToken(), undefined);
-  let taken: number | undefined;
+  let acquiredToken: number | undefined;
   for (
     let waited = 0;
-    taken === undefined && waited < 3 * TTL_MS;
+    acquiredToken === undefined && waited < 3 * TTL_MS;
     waited += 500
   ) {
     clock.advance(500);
     await two.renewOrAcquire();
-    taken = two.heldToken();
+    acquiredToken = two.heldToken();
     assert.ok(
-      taken === undefined || one.heldToken() === undefined,
+      acquiredToken === undefined || one.heldToken() === undefined,
       'never two holders at once',
     );
   }
-  assert.ok(taken !== undefined && taken > first!);
+  assert.ok(acquiredToken !== undefined && acquiredToken > firstToken!);
 });
 
-void test('a holder that was paused longer than its lease holds nothing when it wakes, and its old token is lower', async () => {
+void test('a holder that was paused for longer than the TTL has no lease when it resumes, and its old token is lower', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
   const paused = createLease('paused', clock, log);
@@ -72,7 +72,7 @@
   assert.ok(other.heldToken()! > before);
 });
 
-/** A log whose append takes long, as when the request hangs on its way. */
+/** A log whose append is slow, as when the request is delayed on the network. */
 class SlowLog implements Log {
   constructor(
     private readonly log: Log,
@@ -95,7 +95,7 @@
   }
 }
 
-void test('the time of a lease counts from before the append was sent', async () => {
+void test('the TTL of a lease counts from before the append was sent', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
   const slow = createLease('slow', clock, new SlowLog(log, clock, TTL_MS));
@@ -103,7 +103,7 @@
   assert.equal(slow.heldToken(), undefined);
 });
 
-void test('a lease that was given up is taken at once', async () => {
+void test('a released lease is acquired at once', async () => {
   const clock = new VirtualClock();
   const log = new MemoryLog({clock, retentionMs: 3_600_000});
   const one = createLease('one', clock, log);
--- a/packages/daemon/src/orders/place_lease.ts
+++ b/packages/daemon/src/orders/place_lease.ts
@@ -13,16 +13,16 @@
   readonly logger: Logger;
   readonly identity: HostIdentity;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly ttlMs: number;
 }
 
-/** The part of the lease's time that is not used, against clocks that run at different speeds. */
+/** Part of the TTL that the holder does not use, as a margin for clocks that run at different speeds. */
 const SAFETY_MARGIN = 0.2;
 
 /**
- * The lease of this host's place, kept in the log. A holder counts its time from
- * before the append was sent, so it stops before anyone else can begin.
+ * The lease of this host's place, stored in the log. The holder counts the TTL from
+ * before it sent the append, so it stops before another host can take over.
  */
 export class PlaceLease {
   private readonly table = new LeaseTable();
@@ -30,32 +30,32 @@
   private nextOffset = 0;
   private validUntil = -Infinity;
   private token = -1;
-  /** When the present lease was first seen here, on the local clock, and its token. */
+  /** Token of the current lease and when this host first read it, on the local clock. */
   private firstSeen = {token: -1, at: -Infinity};
 
   constructor(private readonly options: Options) {
     this.stream = `leases.${options.identity.place}`;
   }
 
-  /** The fencing token while this process holds the lease, else nothing. */
+  /** The fencing token while this process holds the lease, otherwise undefined. */
   heldToken(): number | undefined {
     return this.options.clock.now() < this.validUntil ? this.token : undefined;
   }
 
-  /** Reads the stream on; renews the lease, or takes it when it has ended. */
+  /** Reads new records; renews the lease, or acquires it when it has expired or was released. */
   async renewOrAcquire(): Promise<void> {
     const {clock, identity} = this.options;
     await this.readStream();
     const current = this.table.current(identity.place);
     const isOwn = current?.boot === identity.boot;
-    const hasEnded =
+    const isFree =
       !current ||
       current.isGivenUp ||
       clock.now() - this.firstSeen.at > this.options.ttlMs;
-    if (isOwn || hasEnded) await this.appendLease(this.options.ttlMs);
+    if (isOwn || isFree) await this.appendLease(this.options.ttlMs);
   }
 
-  /** Gives the lease up, so that another host need not wait for its end. */
+  /** Releases the lease, so that another host need not wait for it to expire. */
   async release(): Promise<void> {
     if (this.heldToken() === undefined) return;
     this.validUntil = -Infinity;
@@ -64,7 +64,7 @@
   }
 
   private async appendLease(ttlMs: number): Promise<void> {
-    const {clock, log, seal, identity} = this.options;
+    const {clock, log, sealer, identity} = this.options;
     const id = randomUUID();
     const sentAt = clock.now();
     const record = {
@@ -75,7 +75,7 @@
       boot: identity.boot,
       ttlMs,
     };
-    await log.append(this.stream, [seal.seal(record)]);
+    await log.append(this.stream, [sealer.seal(record)]);
     await this.readStream();
     const current = this.table.current(identity.place);
     if (current?.boot !== identity.boot || ttlMs === 0) return;
@@ -84,11 +84,11 @@
   }
 
   private async readStream(): Promise<void> {
-    const {log, seal, clock, identity} = this.options;
+    const {log, sealer, clock, identity} = this.options;
     const page = await log.read(this.stream, this.nextOffset, {waitMs: 0});
     for (const record of page.records) {
       const parsed = LeaseRecord.safeParse(
-        seal.open(record.value).orDefault(undefined),
+        sealer.open(record.value).orDefault(undefined),
       );
       if (parsed.success)
         this.table.fold(parsed.data, record.offset, record.at);
