--- a/packages/daemon/src/peers/configuration_fetcher.ts
+++ b/packages/daemon/src/peers/configuration_fetcher.ts
@@ -28,19 +28,19 @@
   readonly client: PeerClient;
   readonly methods: PeerMethodRegistry;
   readonly seeds: readonly string[];
-  /** Puts a peer's state in force. */
+  /** Applies a peer's state; false when it was not newer or did not fit. */
   readonly applyState: (state: Configuration) => boolean;
-  /** Told after a peer's state was put in force. */
+  /** Called after a peer's state was applied. */
   readonly onApplied: () => void;
-  /** How often the peers' offsets are compared with the own one, in ms. */
+  /** How often the peers' offsets are compared with this host's, in ms. */
   readonly intervalMs: number;
 }
 
 const FETCH_METHOD = 'configuration.fetch';
 
-/** Gets the configuration from a peer that is ahead, when the log does not bring it. */
+/** Fetches the configuration from a peer with a higher offset when the log does not deliver it. */
 export class ConfigurationFetcher implements Service {
-  readonly name = 'catch up';
+  readonly name = 'configuration fetcher';
   private readonly stopping = new AbortController();
   private behindSince: number | undefined;
   private loop: Promise<void> = Promise.resolve();
@@ -69,7 +69,7 @@
     await this.loop;
   }
 
-  /** Asks a peer once for its configuration. */
+  /** Fetches the configuration once from a random peer of this place. */
   async fetchFromRandomPeer(): Promise<void> {
     const {membership, random} = this.options;
     const peers = membership.listAvailablePeers();
@@ -93,8 +93,8 @@
       return;
     }
     this.behindSince ??= clock.now();
-    const patience = store.isReady ? this.options.intervalMs : 0;
-    if (clock.now() - this.behindSince < patience) return;
+    const graceMs = store.isReady ? this.options.intervalMs : 0;
+    if (clock.now() - this.behindSince < graceMs) return;
     await this.fetch(ahead[random.below(ahead.length)]);
   }
 
@@ -114,10 +114,10 @@
         await client.call(address, FETCH_METHOD, {after}),
       );
       if (reply.state) this.applyPeerState(reply.state, reply.digest, address);
-      const isLevel = reply.state
+      const hasCaughtUp = reply.state
         ? store.current.offset >= reply.state.offset
         : true;
-      if (reply.freshnessMs !== undefined && isLevel)
+      if (reply.freshnessMs !== undefined && hasCaughtUp)
         this.options.freshness.recordPeerAge(reply.freshnessMs, sentAt);
     } catch (error) {
       logger.debug('configuration not fetched', {
--- a/packages/daemon/src/peers/gossip.ts
+++ b/packages/daemon/src/peers/gossip.ts
@@ -32,33 +32,33 @@
   readonly freshness: LogFreshness;
   readonly client: PeerClient;
   readonly methods: PeerMethodRegistry;
-  /** Peer addresses to begin with, of any place. */
+  /** Addresses of initial peers, in any place. */
   readonly seeds: readonly string[];
-  /** Between two rounds inside the place, in ms. */
+  /** Interval of rounds within the place, in ms. */
   readonly intervalMs: number;
-  /** Hosts of the place called in a round. */
+  /** Hosts of the place that are called in a round. */
   readonly fanout: number;
-  /** Between two rounds of a relay with other places, in ms. */
+  /** Interval of rounds in which a relay calls other places, in ms. */
   readonly relayIntervalMs: number;
 }
 
 const EXCHANGE_METHOD = 'gossip.exchange';
 const RELAY_FANOUT = 2;
-/** Rounds of relays after which a place's age is passed on although nothing else changed. */
+/** Relay rounds after which a place's age is sent although nothing else changed. */
 const AGE_REPORT_ROUNDS = 4;
 
 /**
- * Heartbeats. Inside the place each host calls the others in turn, in an order
- * shuffled each time round, so none stays unheard for longer than a round. The
- * relays of a place exchange digests with other places. Answers carry the same as
- * calls, so each call informs both sides.
+ * Exchanges heartbeats. Within the place each host calls all others in turn and
+ * reshuffles the order after each cycle, so no host goes unheard for longer than
+ * a cycle. The relays of a place exchange digests with other places. A reply carries the same
+ * content as a call, so each call updates both sides.
  */
 export class Gossip implements Service {
   readonly name = 'gossip';
   private readonly stopping = new AbortController();
   private readonly loops: Promise<void>[] = [];
   private readonly deltaTracker: DigestDeltaTracker;
-  /** Places of which this host was sent a part by name only that it does not have. */
+  /** Places with a digest part that a peer referred to by its hash and that this host lacks. */
   private readonly incompletePlaces = new Set<string>();
   private callQueue: string[] = [];
 
@@ -103,7 +103,7 @@
     await this.exchangeWithinPlace();
   }
 
-  /** Tells others at once: something changed that cannot wait for the next round. */
+  /** Runs a round at once, for changes that cannot wait for the next one. */
   async runNow(): Promise<void> {
     await Promise.all([
       this.exchangeWithinPlace(),
@@ -138,13 +138,13 @@
     const targets = places.flatMap(place =>
       this.sample(membership.listRelays(place), 1),
     );
-    const missing =
+    const fallbackSeeds =
       targets.length === 0 ? this.sample(this.options.seeds, 1) : [];
     await Promise.all([
       ...targets.map((target: HostSummary) =>
         this.exchange(target.address, target.id),
       ),
-      ...missing.map(address => this.exchange(address, address)),
+      ...fallbackSeeds.map(address => this.exchange(address, address)),
     ]);
   }
 
@@ -152,16 +152,16 @@
     const {membership, identity, fanout} = this.options;
     const others = membership
       .listKnown()
-      .filter(entry => entry.id !== identity.id);
+      .filter(state => state.id !== identity.id);
     const targets: HostState[] = [];
     while (targets.length < Math.min(fanout, others.length)) {
       if (this.callQueue.length === 0)
         this.callQueue = this.sample(
-          others.map(entry => entry.id),
+          others.map(state => state.id),
           others.length,
         );
       const id = this.callQueue.pop();
-      const target = others.find(entry => entry.id === id);
+      const target = others.find(state => state.id === id);
       if (target && !targets.includes(target)) targets.push(target);
     }
     return targets;
@@ -203,23 +203,18 @@
   }
 
   private merge(message: GossipMessage, sentAt: number): void {
-    const {
-      membership,
-      freshness,
-      identity,
-      localHostState: ownState,
-    } = this.options;
+    const {membership, freshness, identity, localHostState} = this.options;
     if (message.from.id === identity.id) return;
     membership.mergeState(message.from, true);
-    for (const entry of message.others) {
-      if (entry.id === identity.id)
-        ownState.raiseIncarnationAbove(
-          entry.incarnation - (entry.boot === identity.boot ? 1 : 0),
+    for (const state of message.others) {
+      if (state.id === identity.id)
+        localHostState.raiseIncarnationAbove(
+          state.incarnation - (state.boot === identity.boot ? 1 : 0),
         );
-      else membership.mergeState(entry, false);
+      else membership.mergeState(state, false);
     }
     this.mergeDeltas(message);
-    const isBehind = ownState.createState().offset < message.from.offset;
+    const isBehind = localHostState.createState().offset < message.from.offset;
     if (message.freshnessMs !== undefined && !isBehind)
       freshness.recordPeerAge(message.freshnessMs, sentAt);
   }
@@ -227,11 +222,11 @@
   private mergeDeltas({from, news, lacking, isNew}: GossipMessage): void {
     if (isNew) this.deltaTracker.forgetPeer(from.id);
     lacking.forEach(place => this.deltaTracker.forgetPlace(from.id, place));
-    for (const item of news) {
-      this.deltaTracker.recordReceived(from.id, item);
-      if (this.options.membership.mergeDelta(item))
-        this.incompletePlaces.delete(item.place);
-      else this.incompletePlaces.add(item.place);
+    for (const delta of news) {
+      this.deltaTracker.recordReceived(from.id, delta);
+      if (this.options.membership.mergeDelta(delta))
+        this.incompletePlaces.delete(delta.place);
+      else this.incompletePlaces.add(delta.place);
     }
   }
 
@@ -239,10 +234,10 @@
     receiver: string,
     receiverIsNew = false,
   ): GossipMessage {
-    const {membership, freshness, localHostState: ownState} = this.options;
+    const {membership, freshness, localHostState} = this.options;
     const age = freshness.computeAgeMs();
     return {
-      from: ownState.createState(),
+      from: localHostState.createState(),
       others: receiverIsNew ? membership.listAlive() : [],
       news: this.createDeltas(receiver),
       lacking: [...this.incompletePlaces],
@@ -253,11 +248,11 @@
 
   private createDeltas(receiver: string): PlaceDigestDelta[] {
     const {membership, identity} = this.options;
-    const isInside = membership.get(receiver) !== undefined;
-    const digests = isInside
+    const isSamePlace = membership.get(receiver) !== undefined;
+    const digests = isSamePlace
       ? membership.listDigests()
       : [membership.createOwnDigest(), ...membership.listDigests()];
-    const receiverPlace = isInside
+    const receiverPlace = isSamePlace
       ? identity.place
       : membership.findPlace(receiver);
     return this.deltaTracker.createDeltas(receiver, receiverPlace, digests);
@@ -271,11 +266,13 @@
   }
 
   private sample<T>(items: readonly T[], count: number): T[] {
-    const rest = [...items];
-    const drawn: T[] = [];
-    while (drawn.length < count && rest.length > 0) {
-      drawn.push(...rest.splice(this.options.random.below(rest.length), 1));
+    const remaining = [...items];
+    const sampled: T[] = [];
+    while (sampled.length < count && remaining.length > 0) {
+      sampled.push(
+        ...remaining.splice(this.options.random.below(remaining.length), 1),
+      );
     }
-    return drawn;
+    return sampled;
   }
 }
--- a/packages/daemon/src/peers/http_peer_transport.test.ts
+++ b/packages/daemon/src/peers/http_peer_transport.test.ts
@@ -6,7 +6,7 @@
 import {HttpPeerTransport} from './http_peer_transport.js';
 import {PeerPool} from './peer_pool.js';
 
-/** More than a host has connections for. */
+/** More than the connections to one host. */
 const CALLS = 40;
 const TIMEOUT_MS = 3_000;
 const MESSAGE = {body: 'x', signature: 's'};
@@ -25,14 +25,14 @@
   }
 });
 
-/** A host that answers a call only when another one of the next pool up was answered by the host that asks. */
+/** Starts a host that answers a call only after the calling host has answered a nested call of the next pool. */
 async function startPeer(other: () => Peer): Promise<Peer> {
   const transport = new HttpPeerTransport({});
   const server = createServer((request, response) => {
     request.resume();
     const next = findNextPool(String(request.headers['x-pool']));
-    const done = next ? send(transport, other().address, next) : undefined;
-    Promise.resolve(done).then(
+    const nested = next ? send(transport, other().address, next) : undefined;
+    Promise.resolve(nested).then(
       () => response.end('done'),
       () => response.destroy(),
     );
@@ -62,7 +62,7 @@
 }
 
 for (const pool of [PeerPool.RUN, PeerPool.CLAIM])
-  void test(`two hosts that pass many calls to each other never wait for each other's connections: ${pool}`, async () => {
+  void test(`two hosts with many nested calls to each other do not deadlock on each other's connections: ${pool}`, async () => {
     const peers: Peer[] = [];
     for (const other of [1, 0]) peers.push(await startPeer(() => peers[other]));
     const [one, two] = peers;
@@ -75,13 +75,13 @@
     assert.equal(failed.length, 0, `${failed.length} of ${results.length}`);
   });
 
-void test('a call that waits for a connection ends at its time limit, not when a connection is free', async () => {
+void test('a call that waits for a connection ends at its timeout, not when a connection is free', async () => {
   const server = createServer(request => request.resume());
   servers.push(server);
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   const {port} = server.address() as AddressInfo;
   const transport = new HttpPeerTransport({});
-  const ended: string[] = [];
+  const timedOut: string[] = [];
   const call = (name: string, timeoutMs: number) =>
     transport
       .send(`127.0.0.1:${port}`, MESSAGE, {
@@ -89,11 +89,11 @@
         timeoutMs,
         pool: PeerPool.DIRECT,
       })
-      .catch(() => ended.push(name));
+      .catch(() => timedOut.push(name));
   const holding = Array.from({length: CALLS}, () =>
     call('holding', TIMEOUT_MS),
   );
   await call('waiting', TIMEOUT_MS / 10);
-  assert.deepEqual(ended, ['waiting']);
+  assert.deepEqual(timedOut, ['waiting']);
   await Promise.all(holding);
 });
--- a/packages/daemon/src/peers/http_peer_transport.ts
+++ b/packages/daemon/src/peers/http_peer_transport.ts
@@ -5,34 +5,34 @@
 import type {PeerTransport} from './peer_transport.js';
 
 interface Options {
-  /** The local IP number to call from; any when absent. */
+  /** The local IP address to connect from; any when absent. */
   readonly sourceAddress?: string;
 }
 
 type SendOptions = Parameters<PeerTransport['send']>[2];
 
 interface ExchangeOptions extends SendOptions {
-  /** Ends the exchange. */
+  /** Aborts the exchange. */
   readonly signal: AbortSignal;
 }
 
-/** Connections to each host, for each pool. */
+/** Connections to each host in each pool. */
 const CONNECTIONS_PER_HOST = 8;
 const OK = 200;
 
 /**
- * Messages between hosts over HTTP, on connections that are kept. By undici: a call
- * costs less processor time and fewer header bytes than with got.
+ * Sends messages between hosts over HTTP with keep-alive connections. Uses undici
+ * because a call takes less CPU time and fewer header bytes than with got.
  */
 export class HttpPeerTransport implements PeerTransport {
-  /** One for each pool, so that no call waits for a connection whose own call waits for it. */
+  /** One agent for each pool, so that no call waits for a connection that is held by a call which waits for it. */
   private readonly agents: Readonly<Record<PeerPool, Agent>>;
 
-  constructor({sourceAddress: source}: Options) {
+  constructor({sourceAddress}: Options) {
     this.agents = {
-      [PeerPool.DIRECT]: createAgent(source),
-      [PeerPool.RUN]: createAgent(source),
-      [PeerPool.CLAIM]: createAgent(source),
+      [PeerPool.DIRECT]: createAgent(sourceAddress),
+      [PeerPool.RUN]: createAgent(sourceAddress),
+      [PeerPool.CLAIM]: createAgent(sourceAddress),
     };
   }
 
@@ -42,7 +42,7 @@
     options: SendOptions,
   ): Promise<PeerMessage> {
     const signal = AbortSignal.timeout(Math.ceil(options.timeoutMs));
-    // The library ends a request by its signal only once it has a connection.
+    // Undici aborts a request by its signal only once it has a connection.
     return Promise.race([
       this.exchange(address, message, {...options, signal}),
       rejectOnAbort(signal),
@@ -75,11 +75,11 @@
   }
 }
 
-function createAgent(source: string | undefined): Agent {
+function createAgent(sourceAddress: string | undefined): Agent {
   return new Agent({
     connections: CONNECTIONS_PER_HOST,
     pipelining: 1,
-    localAddress: source,
+    localAddress: sourceAddress,
   });
 }
 
--- a/packages/daemon/src/peers/local_host_state.ts
+++ b/packages/daemon/src/peers/local_host_state.ts
@@ -1,7 +1,7 @@
 import type {HostState, VersionRatings} from '@bayspool/decisions';
 import type {HostIdentity} from '../host/host_identity.js';
 
-/** What each domain adds to this host's entry. */
+/** The part that a plugin contributes to this host's state. */
 interface Contribution {
   readonly offset?: number;
   readonly leaving?: boolean;
@@ -11,7 +11,7 @@
   readonly suspects?: string[];
 }
 
-/** Makes this host's own entry; its sequence grows when anything in it changed. */
+/** Assembles this host's own state; its sequence number increases when the content changes. */
 export class LocalHostState {
   private readonly contributors: (() => Contribution)[] = [];
   private sequence = 0;
@@ -26,7 +26,7 @@
     this.contributors.push(contributor);
   }
 
-  /** A peer knows a later incarnation of this host than this process: go above it. */
+  /** Raises the incarnation above a later one of this host that a peer knows. */
   raiseIncarnationAbove(incarnation: number): void {
     if (incarnation > this.incarnation) this.incarnation = incarnation + 1;
   }
--- a/packages/daemon/src/peers/peer_client.ts
+++ b/packages/daemon/src/peers/peer_client.ts
@@ -6,30 +6,30 @@
 import type {PeerTransport} from './peer_transport.js';
 
 interface Options {
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly metrics: Metrics;
   readonly timeoutMs: number;
   readonly transport: PeerTransport;
 }
 
 interface CallTarget {
-  /** As `10.0.0.7:7100`. */
+  /** Such as `10.0.0.7:7100`. */
   readonly address: string;
   readonly timeoutMs: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly pool: PeerPool;
 }
 
-/** How a call is made. */
+/** Options of one call. */
 interface CallOptions {
-  /** As the settings say if left out. */
+  /** The client's timeout when absent. */
   readonly timeoutMs?: number;
   readonly headers?: Readonly<Record<string, string>>;
-  /** What the call waits for at the other host; nothing if left out. */
+  /** The connection pool, by what the call waits for at the other host; `DIRECT` when absent. */
   readonly pool?: PeerPool;
 }
 
-/** Calls methods of other hosts by JSON-RPC; both directions are authenticated. */
+/** Calls JSON-RPC methods of other hosts; requests and replies are signed. */
 export class PeerClient {
   private readonly rpc: JSONRPCClient<CallTarget>;
   private readonly bytesTotal: Counter<'direction'>;
@@ -45,7 +45,7 @@
     );
   }
 
-  /** Calls a method; a rejection does not mean that it was not carried out. */
+  /** Calls a method. After a rejection the method may still have been executed. */
   async call(
     address: string,
     method: string,
@@ -72,14 +72,14 @@
   }
 
   private async send(body: string, target: CallTarget): Promise<void> {
-    const {seal, transport} = this.options;
+    const {sealer, transport} = this.options;
     const {address, headers, timeoutMs, pool} = target;
     const reply = await transport.send(
       address,
-      {body, signature: seal.sign(body)},
+      {body, signature: sealer.sign(body)},
       {headers, timeoutMs, pool},
     );
-    if (!seal.verify(reply.body, reply.signature))
+    if (!sealer.verify(reply.body, reply.signature))
       throw new Error('the reply is not signed by a peer');
     this.bytesTotal.inc({direction: 'out'}, body.length);
     this.bytesTotal.inc({direction: 'in'}, reply.body.length);
--- a/packages/daemon/src/peers/peer_headers.ts
+++ b/packages/daemon/src/peers/peer_headers.ts
@@ -1,4 +1,4 @@
-/** Headers between peers. */
+/** HTTP headers of messages between peers. */
 export const peerHeaders = {
   /** HMAC of the body, as `keyId.mac`. */
   signature: 'bayspool-signature',
--- a/packages/daemon/src/peers/peer_message.ts
+++ b/packages/daemon/src/peers/peer_message.ts
@@ -1,4 +1,4 @@
-/** A JSON-RPC body between hosts with its signature, as `keyId.mac`. */
+/** A JSON-RPC body between hosts and its signature, as `keyId.mac`. */
 export interface PeerMessage {
   readonly body: string;
   readonly signature: string;
--- a/packages/daemon/src/peers/peer_message_handler.ts
+++ b/packages/daemon/src/peers/peer_message_handler.ts
@@ -5,12 +5,12 @@
 import type {PeerMethodRegistry} from './peer_method_registry.js';
 
 interface Options {
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   readonly methods: PeerMethodRegistry;
   readonly metrics: Metrics;
 }
 
-/** Answers peers' messages. One that no peer signed is refused and counted. */
+/** Verifies and answers peers' messages. A message that no peer signed is refused and counted. */
 export class PeerMessageHandler {
   private readonly refusedTotal: Counter<'why'>;
 
@@ -22,20 +22,20 @@
     );
   }
 
-  /** Gives the signed answer, or nothing for a message that is not a peer's. */
+  /** Returns the signed reply, or undefined for a message that no peer signed. */
   async handle(message: PeerMessage): Promise<PeerMessage | undefined> {
-    const {seal, methods} = this.options;
-    if (!seal.verify(message.body, message.signature)) {
+    const {sealer, methods} = this.options;
+    if (!sealer.verify(message.body, message.signature)) {
       this.countRefused('forged');
       return undefined;
     }
     const body = JSON.stringify(
       (await methods.server.receiveJSON(message.body)) ?? null,
     );
-    return {body, signature: seal.sign(body)};
+    return {body, signature: sealer.sign(body)};
   }
 
-  /** Counts a message that could not be taken. */
+  /** Counts a refused message. */
   countRefused(why: 'forged' | 'unreadable'): void {
     this.refusedTotal.inc({why});
   }
--- a/packages/daemon/src/peers/peer_method_registry.ts
+++ b/packages/daemon/src/peers/peer_method_registry.ts
@@ -2,7 +2,7 @@
 import {JSONRPCServer} from 'json-rpc-2.0';
 import type {z} from 'zod';
 
-/** The methods that peers may call; each domain adds its own. */
+/** Registry of the JSON-RPC methods that peers may call; each plugin registers its own. */
 export class PeerMethodRegistry {
   readonly server: JSONRPCServer;
 
@@ -14,7 +14,7 @@
     });
   }
 
-  /** Adds a method whose parameters are checked before `handle` sees them. */
+  /** Registers a method; `handle` receives parameters that `params` has validated. */
   register<T>(
     name: string,
     params: z.ZodType<T>,
--- a/packages/daemon/src/peers/peer_server.ts
+++ b/packages/daemon/src/peers/peer_server.ts
@@ -8,7 +8,7 @@
   readonly endpoint: string;
   readonly messageHandler: PeerMessageHandler;
   readonly logger: Logger;
-  /** A longer message is refused unread. */
+  /** Longer messages are refused without being read. */
   readonly maxMessageBytes: number;
 }
 
@@ -16,7 +16,7 @@
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
-/** Where peers call this host. A message without a peer's signature is refused and counted. */
+/** HTTP server for calls from peers. A message without a peer's signature is refused and counted. */
 export class PeerServer implements Service {
   readonly name = 'peer door';
   private readonly server: HttpServer;
--- a/packages/daemon/src/peers/peer_transport.ts
+++ b/packages/daemon/src/peers/peer_transport.ts
@@ -7,9 +7,9 @@
   readonly pool: PeerPool;
 }
 
-/** Carries messages between hosts. */
+/** Sends messages between hosts. */
 export interface PeerTransport {
-  /** Gives the answer; a rejection does not mean that the message did not arrive. */
+  /** Resolves to the reply. After a rejection the message may still have arrived. */
   send(
     address: string,
     message: PeerMessage,
--- a/packages/daemon/src/peers/peers_plugin.ts
+++ b/packages/daemon/src/peers/peers_plugin.ts
@@ -14,7 +14,7 @@
 export const peersSection = {
   name: 'peers',
   shape: z.strictObject({
-    /** Peer addresses to begin with, of any place. */
+    /** Addresses of initial peers, in any place. */
     seeds: fields
       .list('')
       .refine(
@@ -22,23 +22,23 @@
           list.every(item => /^[\d.]+:\d+$|^\[[\da-f:]+\]:\d+$/.test(item)),
         'needs IP numbers with ports, not host names; write 10.0.0.7:7100,10.0.0.8:7100',
       ),
-    /** Between two rounds of heartbeats inside the place. */
+    /** Interval of heartbeat rounds within the place. */
     interval: fields.duration('2s'),
-    /** Hosts called in a round. */
+    /** Hosts that are called in a round. */
     fanout: fields.number(2),
-    /** Between two rounds of a relay with other places. */
+    /** Interval of rounds in which a relay calls other places. */
     'relay-interval': fields.duration('5s'),
-    /** Without a message for this long a host of the place is taken to be gone. */
+    /** A host of the place that sends no message for this long is considered dead. */
     'suspect-after': fields.duration('15s'),
-    /** Without a digest for this long another place is taken to be cut off. */
+    /** Another place that sends no digest for this long is considered cut off. */
     'place-suspect-after': fields.duration('60s'),
-    /** After this time a host that is gone is forgotten, its ratings with it. */
+    /** A dead host is removed after this time, together with its ratings. */
     'forget-after': fields.duration('1h'),
-    /** How long one call to a peer may take. */
+    /** Timeout of one call to a peer. */
     timeout: fields.duration('2s'),
-    /** The local IP number that calls to peers come from, on hosts that have several. */
+    /** The local IP address from which peers are called, for hosts that have several. */
     source: z.ipv4('needs an IP number').optional(),
-    /** A longer message is refused unread. */
+    /** Longer messages are refused without being read. */
     'message-limit': fields.size('16MiB'),
   }),
 };
@@ -53,21 +53,23 @@
     const logger = container.get(tokens.logger);
     const metrics = container.get(tokens.metrics);
     const identity = container.get(daemonTokens.hostIdentity);
-    const seal = container.get(daemonTokens.sealers).peers;
+    const sealer = container.get(daemonTokens.sealers).peers;
     const methods = new PeerMethodRegistry(logger);
-    const ownState = new LocalHostState(identity);
+    const localHostState = new LocalHostState(identity);
     const freshness = new LogFreshness(clock);
     const transport = container.isBound(daemonTokens.peerTransport)
       ? container.get(daemonTokens.peerTransport)
       : new HttpPeerTransport({sourceAddress: peers.source});
     const client = new PeerClient({
-      seal,
+      sealer,
       metrics,
       transport,
       timeoutMs: peers.timeout,
     });
-    const inbox = new PeerMessageHandler({seal, methods, metrics});
-    container.bind(daemonTokens.peerMessageHandler).toConstantValue(inbox);
+    const messageHandler = new PeerMessageHandler({sealer, methods, metrics});
+    container
+      .bind(daemonTokens.peerMessageHandler)
+      .toConstantValue(messageHandler);
     const membership = new Membership({
       clock,
       self: identity.id,
@@ -78,16 +80,16 @@
     });
     container.bind(daemonTokens.peerMethods).toConstantValue(methods);
     container.bind(daemonTokens.peerClient).toConstantValue(client);
-    container.bind(daemonTokens.localHostState).toConstantValue(ownState);
+    container.bind(daemonTokens.localHostState).toConstantValue(localHostState);
     container.bind(daemonTokens.freshness).toConstantValue(freshness);
     container.bind(daemonTokens.membership).toConstantValue(membership);
-    const messageBytesMost = peers['message-limit'];
+    const maxMessageBytes = peers['message-limit'];
     container.bind(tokens.service).toConstantValue(
       new PeerServer({
         endpoint: identity.peerListen,
-        messageHandler: inbox,
+        messageHandler,
         logger,
-        maxMessageBytes: messageBytesMost,
+        maxMessageBytes,
       }),
     );
     const gossip = new Gossip({
@@ -96,7 +98,7 @@
       logger,
       metrics,
       identity,
-      localHostState: ownState,
+      localHostState,
       membership,
       freshness,
       client,
