--- a/packages/daemon/src/create_health_router.ts
+++ b/packages/daemon/src/create_health_router.ts
@@ -7,7 +7,7 @@
   readonly leaving: LeavingState;
 }
 
-/** `GET /healthz`: the process runs. `GET /readyz`: it takes new work; the balancer looks here. */
+/** Creates `GET /healthz` (the process runs) and `GET /readyz` (it accepts new work), which the load balancer checks. */
 export function createHealthRouter(options: Options): Router {
   const router = Router();
   router.get('/healthz', (_request, response) => {
--- a/packages/daemon/src/create_kernel.ts
+++ b/packages/daemon/src/create_kernel.ts
@@ -3,7 +3,7 @@
 
 const PROGRAM = 'bayspoold';
 
-/** Reads and checks a settings file and wires the daemon up; starts nothing. Throws a settings problem. */
+/** Loads and validates a settings file and wires the daemon without starting it. Throws a settings problem. */
 export function createKernel(file: string): Kernel {
   return new Kernel({
     settings: loadSettings(file),
--- a/packages/daemon/src/daemon_tokens.ts
+++ b/packages/daemon/src/daemon_tokens.ts
@@ -30,35 +30,35 @@
 import type {ServicePool} from './runners/service_pool.js';
 import type {LogFreshness} from '@bayspool/decisions';
 
-/** What the daemon's plug-ins bind for each other. */
+/** Injection tokens of what the daemon's plugins provide to each other. */
 export const daemonTokens = {
   hostIdentity: token<HostIdentity>('HostIdentity'),
-  sealers: token<ClusterSealers>('Seals'),
+  sealers: token<ClusterSealers>('ClusterSealers'),
   log: token<Log>('Log'),
-  ratingService: token<RatingService>('Rating'),
+  ratingService: token<RatingService>('RatingService'),
   roster: token<Roster>('Roster'),
   weights: token<WeightStore>('WeightStore'),
   runner: token<Runner>('Runner'),
   plainService: token<ServiceRunner>('PlainService'),
   configurationStore: token<ConfigurationStore>('ConfigurationStore'),
-  intentSubmitter: token<IntentSubmitter>('IntentFiler'),
-  freshness: token<LogFreshness>('Freshness'),
-  stalenessGuard: token<StalenessGuard>('Staleness'),
+  intentSubmitter: token<IntentSubmitter>('IntentSubmitter'),
+  freshness: token<LogFreshness>('LogFreshness'),
+  stalenessGuard: token<StalenessGuard>('StalenessGuard'),
   membership: token<Membership>('Membership'),
   gossip: token<Gossip>('Gossip'),
-  localHostState: token<LocalHostState>('OwnState'),
+  localHostState: token<LocalHostState>('LocalHostState'),
   peerClient: token<PeerClient>('PeerClient'),
-  peerMessageHandler: token<PeerMessageHandler>('PeerInbox'),
-  /** Bound before the peers' plug-in where messages are not to go over HTTP. */
+  peerMessageHandler: token<PeerMessageHandler>('PeerMessageHandler'),
+  /** Bound ahead of the peers plugin to replace HTTP between hosts. */
   peerTransport: token<PeerTransport>('PeerTransport'),
   callerDesk: token<CallerDesk>('CallerDesk'),
-  intentPlanner: token<IntentPlanner>('PlanDesk'),
-  peerMethods: token<PeerMethodRegistry>('PeerMethods'),
+  intentPlanner: token<IntentPlanner>('IntentPlanner'),
+  peerMethods: token<PeerMethodRegistry>('PeerMethodRegistry'),
   runnerPool: token<RunnerPool>('RunnerPool'),
   servicePool: token<ServicePool>('ServicePool'),
-  billRecorder: token<BillRecorder>('BillKeeper'),
+  billRecorder: token<BillRecorder>('BillRecorder'),
   ratings: token<RatingBook>('RatingBook'),
   evidence: token<EvidenceBook>('EvidenceBook'),
   workspaceLimits: token<WorkspaceLimits>('WorkspaceLimits'),
-  leavingState: token<LeavingState>('Leaving'),
+  leavingState: token<LeavingState>('LeavingState'),
 };
--- a/packages/daemon/src/http_server.ts
+++ b/packages/daemon/src/http_server.ts
@@ -5,12 +5,12 @@
 
 interface Options {
   readonly listener: RequestListener;
-  /** As `127.0.0.1:8080`. */
+  /** Such as `127.0.0.1:8080`. */
   readonly endpoint: string;
-  /** The setting that names the endpoint, for messages. */
+  /** Name of the setting that holds the endpoint, for error messages. */
   readonly setting: string;
   readonly maxConnections: number;
-  /** Within which the headers, and the whole request, must have come, in ms. */
+  /** Time limits for receiving the headers and the whole request, in ms. */
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
   readonly maxHeaderBytes?: number;
@@ -18,7 +18,7 @@
 
 const KEEP_ALIVE_MS = 30_000;
 
-/** An HTTP server with its bounds set: header size, slow senders, idle time and connections. */
+/** An HTTP server with limits on header size, slow senders, idle time and connections. */
 export class HttpServer {
   private readonly server: Server;
 
@@ -36,7 +36,7 @@
     this.server.maxConnections = options.maxConnections;
   }
 
-  /** Told of requests that could not even be parsed. */
+  /** Sets the handler for requests that could not be parsed. */
   onBadRequest(
     handle: (
       error: NodeJS.ErrnoException,
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Starts to listen and gives the real endpoint. */
+  /** Starts to listen and resolves to the actual endpoint. */
   start(): Promise<string> {
     const {endpoint, setting} = this.options;
     const separator = endpoint.lastIndexOf(':');
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Takes no new connections and resolves when the last one has ended. */
+  /** Accepts no new connections and resolves when the last one has ended. */
   stop(): Promise<void> {
     return new Promise(resolve => {
       this.server.close(() => resolve());
@@ -76,7 +76,7 @@
     });
   }
 
-  /** Ends what is still open. */
+  /** Closes all open connections. */
   destroy(): void {
     this.server.closeAllConnections();
   }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon, for tools that run one in their own process. */
+/** The daemon, for tools that run it in their own process. */
 export {createKernel} from './create_kernel.js';
 export {runDaemon} from './run_daemon.js';
 export {daemonTokens} from './daemon_tokens.js';
--- a/packages/daemon/src/platform/create_http_client.ts
+++ b/packages/daemon/src/platform/create_http_client.ts
@@ -2,14 +2,14 @@
 import got, {type Got} from 'got';
 
 interface Options {
-  /** As `127.0.0.1:9000`. */
+  /** Such as `127.0.0.1:9000`. */
   readonly endpoint: string;
   readonly timeoutMs: number;
 }
 
 const MAX_SOCKETS = 64;
 
-/** A client for one service: kept-alive connections, no hidden retries, JSON. */
+/** Creates a JSON client for one service with keep-alive connections and no automatic retries. */
 export function createHttpClient(options: Options): Got {
   const agent = new Agent({keepAlive: true, maxSockets: MAX_SOCKETS});
   return got.extend({
--- a/packages/daemon/src/platform/embedded_platform_plugin.ts
+++ b/packages/daemon/src/platform/embedded_platform_plugin.ts
@@ -19,7 +19,7 @@
     const clock = container.get(tokens.clock);
     const quality = platform.quality
       .map(item => item.split('='))
-      .map(([name, part]) => [name, Number(part)]);
+      .map(([key, share]) => [key, Number(share)]);
     container
       .bind(daemonTokens.log)
       .toConstantValue(new MemoryLog({clock, retentionMs: platform.retention}));
--- a/packages/daemon/src/platform/http_log.ts
+++ b/packages/daemon/src/platform/http_log.ts
@@ -16,7 +16,7 @@
 });
 const appendReplySchema = z.object({offset: z.int()});
 
-/** The platform's log over HTTP. */
+/** Client of the platform's log service over HTTP. */
 export class HttpLog implements Log {
   constructor(private readonly options: Options) {}
 
--- a/packages/daemon/src/platform/http_rating_service.ts
+++ b/packages/daemon/src/platform/http_rating_service.ts
@@ -15,7 +15,7 @@
   z.object({position: z.int(), requestId: z.string(), good: z.boolean()}),
 );
 
-/** The platform's rating service over HTTP. */
+/** Client of the platform's rating service over HTTP. */
 export class HttpRatingService implements RatingService {
   constructor(private readonly options: Options) {}
 
--- a/packages/daemon/src/platform/http_roster.ts
+++ b/packages/daemon/src/platform/http_roster.ts
@@ -4,7 +4,7 @@
 
 const entriesSchema = z.array(z.object({id: z.string(), leaving: z.boolean()}));
 
-/** The platform's list of hosts over HTTP. */
+/** Client of the platform's roster of hosts over HTTP. */
 export class HttpRoster implements Roster {
   constructor(private readonly http: Got) {}
 
--- a/packages/daemon/src/platform/http_weight_store.ts
+++ b/packages/daemon/src/platform/http_weight_store.ts
@@ -4,7 +4,7 @@
 
 const rateSchema = z.object({loads_per_minute: z.number().positive()});
 
-/** The platform's weight store over HTTP. */
+/** Client of the platform's weight store over HTTP. */
 export class HttpWeightStore implements WeightStore {
   constructor(private readonly http: Got) {}
 
--- a/packages/daemon/src/platform/platform_section.ts
+++ b/packages/daemon/src/platform/platform_section.ts
@@ -1,28 +1,28 @@
 import {fields} from '@bayspool/kernel';
 import {z} from 'zod';
 
-/** Chooses and describes the platform's services. */
+/** Settings that select the platform's services and their endpoints. */
 export const platformSection = {
   name: 'platform',
   shape: z
     .strictObject({
-      /** `embedded` runs stand-ins in this process; `http` uses the endpoints below. */
+      /** `embedded` runs in-memory implementations in this process; `http` uses the endpoints below. */
       kind: z.enum(['embedded', 'http']).default('http'),
       /** The log service. */
       log: fields.endpoint().optional(),
       /** The rating service; without one nothing is rated. */
       rating: fields.endpoint().optional(),
-      /** The list of hosts; without one nothing is listed as leaving. */
+      /** The roster of hosts; without one no host or runner is listed as leaving. */
       roster: fields.endpoint().optional(),
-      /** The weight store; without one loads are not limited. */
+      /** The weight store; without one loads are not rate limited. */
       weights: fields.endpoint().optional(),
-      /** How long one call may take, not counting a long poll's wait. */
+      /** Timeout of one call, in addition to the wait of a long poll. */
       timeout: fields.duration('3s'),
       /** embedded: how long the log keeps records. */
       retention: fields.duration('1d'),
-      /** embedded: the part of good answers, as `name=0.9,other=0.8`. */
+      /** embedded: share of good answers by `version` or `version/task`, as `name=0.9,other=0.8`. */
       quality: fields.list(''),
-      /** embedded: mean time until a rating is there. */
+      /** embedded: mean delay until a rating is available. */
       'rating-delay': fields.duration('300ms'),
     })
     .refine(
--- a/packages/daemon/src/plugins.ts
+++ b/packages/daemon/src/plugins.ts
@@ -1,4 +1,4 @@
-/** Imports every plug-in of the daemon, in the order in which they build on each other. */
+/** Imports the daemon's plugins so that each follows those it depends on. */
 import './host/host_plugin.js';
 import './platform/http_platform_plugin.js';
 import './platform/embedded_platform_plugin.js';
--- a/packages/daemon/src/run_daemon.ts
+++ b/packages/daemon/src/run_daemon.ts
@@ -1,7 +1,7 @@
 import {sleep, tokens, type Kernel} from '@bayspool/kernel';
 import {daemonTokens} from './daemon_tokens.js';
 
-/** Runs the daemon until `signal` aborts, then leaves in good order. */
+/** Runs the daemon until `signal` aborts, then shuts it down gracefully. */
 export async function runDaemon(
   kernel: Kernel,
   signal: AbortSignal,
@@ -13,10 +13,10 @@
     await new Promise(resolve =>
       signal.addEventListener('abort', resolve, {once: true}),
     );
-  const leaving = container.get(daemonTokens.leavingState);
+  const leavingState = container.get(daemonTokens.leavingState);
   logger.info('leaving');
-  leaving.beginShutdown();
-  await sleep(container.get(tokens.clock), leaving.gracePeriodMs);
+  leavingState.beginShutdown();
+  await sleep(container.get(tokens.clock), leavingState.gracePeriodMs);
   await kernel.stop();
   logger.info('left');
 }
--- a/packages/daemon/src/show_hints.ts
+++ b/packages/daemon/src/show_hints.ts
@@ -9,7 +9,7 @@
 
 `;
 
-/** Prints where the demo listens and three commands to try. */
+/** Prints where the demo listens and three commands to try out. */
 export function showHints(): void {
   console.log(HINTS);
 }
