--- a/packages/daemon/src/billing/bill_replicator.ts
+++ b/packages/daemon/src/billing/bill_replicator.ts
@@ -86,7 +86,7 @@
     return true;
   }
 
-  /** Sends bills to the candidates in turn; returns the address of the first that accepts them. */
+  /** Sends bills to one candidate after another; returns the address of the first that accepts them. */
   private async sendToAnyPeer(
     method: string,
     params: object,
--- a/packages/daemon/src/leaving/leaving_state.ts
+++ b/packages/daemon/src/leaving/leaving_state.ts
@@ -9,7 +9,10 @@
   readonly gracePeriodMs: number;
 }
 
-/** Whether this host is leaving: after a signal, by an operator's drain intent or because the platform's roster says so. */
+/**
+ * Tracks whether this host is leaving: after a signal, by an operator's drain intent
+ * or because the platform's roster says so.
+ */
 export class LeavingState {
   private isShuttingDown = false;
   private listedIds: ReadonlySet<string> = new Set();
--- a/packages/daemon/src/orders/order_dispatcher.ts
+++ b/packages/daemon/src/orders/order_dispatcher.ts
@@ -115,6 +115,10 @@
     }
   }
 
+  /**
+   * Whether an order is due: it was not sent within the last minute, and a load is
+   * within the rate limit. Marks a due order as sent.
+   */
   private async reserveSend(order: PlannedOrder): Promise<boolean> {
     const {clock} = this.options;
     const key = `${order.runner} ${order.version} ${order.desired}`;
--- a/packages/daemon/src/peers/gossip.ts
+++ b/packages/daemon/src/peers/gossip.ts
@@ -50,8 +50,8 @@
 /**
  * Exchanges heartbeats. Within the place each host calls all others in turn and
  * reshuffles the order after each cycle, so no host goes unheard for longer than
- * a cycle. The relays of a place exchange digests with other places. A reply carries the same
- * content as a call, so each call updates both sides.
+ * a cycle. The relays of a place exchange digests with other places. A reply
+ * carries the same content as a call, so each call updates both sides.
  */
 export class Gossip implements Service {
   readonly name = 'gossip';
