--- a/packages/bench/src/fuzz/callers.ts
+++ b/packages/bench/src/fuzz/callers.ts
@@ -59,9 +59,9 @@
   /** Asks a host for a ticket; one that gives none is passed over. */
   async takeTicket(host: FuzzHost): Promise<void> {
     if (!host.gate.isRunning) return;
-    const desk = host.kernel.container.get(daemonTokens.callerDesk);
+    const desk = host.kernel.container.get(daemonTokens.admissionController);
     try {
-      const answer = await desk.answer(toRawCall('/v1/tickets', {}, ''));
+      const answer = await desk.handle(toRawCall('/v1/tickets', {}, ''));
       const {ticket} = JSON.parse((answer.body as Buffer).toString()) as {
         ticket: string;
       };
@@ -83,8 +83,8 @@
     };
     this.told.push(told);
     const answered = host.kernel.container
-      .get(daemonTokens.callerDesk)
-      .answer(raw)
+      .get(daemonTokens.admissionController)
+      .handle(raw)
       .then(readAnswer, failedAnswer);
     const {clock} = this.options;
     void host.gate
--- a/packages/bench/src/fuzz/fuzz_host.ts
+++ b/packages/bench/src/fuzz/fuzz_host.ts
@@ -133,7 +133,7 @@
           container.bind(daemonTokens.runner).toConstantValue(runner),
         );
         container
-          .bind(daemonTokens.plainService)
+          .bind(daemonTokens.serviceRunner)
           .toConstantValue(this.registry());
       },
     };
--- a/packages/daemon/src/callers/caller_desk.ts
+++ b/packages/daemon/src/callers/admission_controller.ts
@@ -1,38 +1,38 @@
 import {Problem, ProblemKind} from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
 import type {LeavingState} from '../leaving/leaving_state.js';
-import type {WorkspaceLimits} from '../limits/workspace_limits.js';
-import {authenticate} from './authenticate.js';
+import type {WorkspaceRateLimiter} from '../limits/workspace_rate_limiter.js';
+import {authenticateCaller} from './authenticate_caller.js';
 import type {CallDispatcher} from './call_dispatcher.js';
-import type {CallerAnswer} from './caller_answer.js';
-import type {CallerCall} from './caller_call.js';
+import type {CallResponse} from './call_response.js';
+import type {AuthenticatedCall} from './authenticated_call.js';
 import {callerHeaders} from './caller_headers.js';
-import {modelsList} from './models_list.js';
+import {createModelsList} from './create_models_list.js';
 import type {RawCall} from './raw_call.js';
-import type {KeyedAnswers} from './tickets/keyed_answers.js';
+import type {KeyedCallRouter} from './tickets/keyed_call_router.js';
 
 interface Options {
   readonly store: ConfigurationStore;
   readonly leaving: LeavingState;
-  readonly limits: WorkspaceLimits;
+  readonly rateLimiter: WorkspaceRateLimiter;
   readonly dispatcher: CallDispatcher;
-  readonly keyed: KeyedAnswers;
+  readonly keyedCallRouter: KeyedCallRouter;
 }
 
-const DEADLINE_MOST_MS = 600_000;
-const KEY_LENGTH_MOST = 1_024;
+const MAX_DEADLINE_MS = 600_000;
+const MAX_KEY_LENGTH = 1_024;
 const RETRY_AFTER_MS = 1_000;
 
 /** Admits callers' requests: who it is, whether this host takes work, the limit, the key. Knows no HTTP server. */
-export class CallerDesk {
+export class AdmissionController {
   constructor(private readonly options: Options) {}
 
   /** Answers a request, or throws what its caller is to be told. */
-  async answer(raw: RawCall): Promise<CallerAnswer> {
-    const {store, leaving, limits} = this.options;
-    if (!store.isReady) throw notReady();
-    if (leaving.rejectsNewWork()) throw draining();
-    const workspace = authenticate(
+  async handle(raw: RawCall): Promise<CallResponse> {
+    const {store, leaving, rateLimiter: limits} = this.options;
+    if (!store.isReady) throw createNotReadyProblem();
+    if (leaving.rejectsNewWork()) throw createDrainingProblem();
+    const workspace = authenticateCaller(
       store.current,
       raw.headers[callerHeaders.authorization],
     ).caseOf({
@@ -43,16 +43,17 @@
     });
     const [path] = raw.path.split('?');
     if (path === '/v1/models' && raw.method === 'GET')
-      return json(modelsList(store.current, workspace.id));
+      return createJsonResponse(createModelsList(store.current, workspace.id));
     const over = limits.admit(workspace.id);
     if (over) throw over;
     if (path === '/v1/tickets' && raw.method === 'POST')
-      return this.ticket(workspace.id);
-    const call = toCall(raw, workspace.id);
+      return this.issueTicket(workspace.id);
+    const call = createCall(raw, workspace.id);
     const key = call.headers[callerHeaders.idempotencyKey];
     if (key === undefined) return this.options.dispatcher.dispatch(call);
-    if (key.length > KEY_LENGTH_MOST || key.length === 0) throw badKey();
-    const stored = await this.options.keyed.answer(key, call);
+    if (key.length > MAX_KEY_LENGTH || key.length === 0)
+      throw createInvalidKeyProblem();
+    const stored = await this.options.keyedCallRouter.handle(key, call);
     return {
       status: stored.status,
       headers: stored.headers,
@@ -60,13 +61,14 @@
     };
   }
 
-  private ticket(workspace: string): CallerAnswer {
-    const {ticket, expiresInMs} = this.options.keyed.mint(workspace);
-    return json({ticket, expires_in_ms: expiresInMs});
+  private issueTicket(workspace: string): CallResponse {
+    const {ticket, expiresInMs} =
+      this.options.keyedCallRouter.issueTicket(workspace);
+    return createJsonResponse({ticket, expires_in_ms: expiresInMs});
   }
 }
 
-function toCall(raw: RawCall, workspace: string): CallerCall {
+function createCall(raw: RawCall, workspace: string): AuthenticatedCall {
   const headers = Object.fromEntries(
     Object.entries(raw.headers).filter(
       ([name]) => name !== callerHeaders.authorization,
@@ -77,14 +79,14 @@
     headers,
     workspace,
     billId: raw.id,
-    deadlineMs: deadlineOf(headers[callerHeaders.deadline]),
+    deadlineMs: parseDeadlineMs(headers[callerHeaders.deadline]),
   };
 }
 
-function deadlineOf(text: string | undefined): number | undefined {
+function parseDeadlineMs(text: string | undefined): number | undefined {
   if (text === undefined) return undefined;
   const ms = Number(text);
-  if (Number.isInteger(ms) && ms > 0 && ms <= DEADLINE_MOST_MS) return ms;
+  if (Number.isInteger(ms) && ms > 0 && ms <= MAX_DEADLINE_MS) return ms;
   throw new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: 'Bayspool-Deadline-Ms is not a whole number of ms from 1 to 600000',
@@ -92,7 +94,7 @@
   });
 }
 
-function json(value: object): CallerAnswer {
+function createJsonResponse(value: object): CallResponse {
   return {
     status: 200,
     headers: {'content-type': 'application/json'},
@@ -100,7 +102,7 @@
   };
 }
 
-function notReady(): Problem {
+function createNotReadyProblem(): Problem {
   return new Problem({
     kind: ProblemKind.NOT_READY,
     what: 'this host has no configuration yet',
@@ -109,7 +111,7 @@
   });
 }
 
-function draining(): Problem {
+function createDrainingProblem(): Problem {
   return new Problem({
     kind: ProblemKind.DRAINING,
     what: 'this host is leaving and takes no new work',
@@ -118,10 +120,10 @@
   });
 }
 
-function badKey(): Problem {
+function createInvalidKeyProblem(): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
-    what: `Idempotency-Key is empty or longer than ${KEY_LENGTH_MOST} characters`,
+    what: `Idempotency-Key is empty or longer than ${MAX_KEY_LENGTH} characters`,
     remedy: 'send a shorter key or a ticket',
   });
 }
--- a/packages/daemon/src/callers/authenticate.ts
+++ b/packages/daemon/src/callers/authenticate_caller.ts
@@ -7,16 +7,17 @@
 import {Problem, ProblemKind} from '@bayspool/kernel';
 import {Left, Right, type Either} from 'purify-ts';
 
-const SCHEME = 'Bearer ';
+const BEARER_PREFIX = 'Bearer ';
 
 /** Finds the workspace whose key was sent. All keys are compared, each in constant time. */
-export function authenticate(
+export function authenticateCaller(
   config: Configuration,
   authorization: string | undefined,
 ): Either<Problem, Workspace> {
-  if (!authorization?.startsWith(SCHEME)) return Left(unauthorized());
+  if (!authorization?.startsWith(BEARER_PREFIX))
+    return Left(createUnauthorizedProblem());
   const hash = Buffer.from(
-    hashAccessKey(authorization.slice(SCHEME.length)),
+    hashAccessKey(authorization.slice(BEARER_PREFIX.length)),
     'hex',
   );
   let found: Workspace | undefined;
@@ -26,10 +27,10 @@
         found = workspace;
     }
   }
-  return found ? Right(found) : Left(unauthorized());
+  return found ? Right(found) : Left(createUnauthorizedProblem());
 }
 
-function unauthorized(): Problem {
+function createUnauthorizedProblem(): Problem {
   return new Problem({
     kind: ProblemKind.UNAUTHORIZED,
     what: 'the key is missing or not known',
--- a/packages/daemon/src/callers/caller_call.ts
+++ b/packages/daemon/src/callers/authenticated_call.ts
@@ -1,7 +1,7 @@
 import type {Context} from '@opentelemetry/api';
 
 /** One request of a caller, checked as far as all requests are: who, until when, and the raw content. */
-export interface CallerCall {
+export interface AuthenticatedCall {
   readonly id: string;
   readonly workspace: string;
   readonly method: string;
--- a/packages/daemon/src/callers/call_dispatcher.ts
+++ b/packages/daemon/src/callers/call_dispatcher.ts
@@ -1,15 +1,15 @@
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import type {CallerAnswer} from './caller_answer.js';
-import type {CallerCall} from './caller_call.js';
+import type {CallResponse} from './call_response.js';
+import type {AuthenticatedCall} from './authenticated_call.js';
 import type {CompletionHandler} from './completions/completion_handler.js';
-import type {ServiceCaller} from './services/service_caller.js';
+import type {ServiceCallHandler} from './services/service_call_handler.js';
 
 interface Options {
   readonly clock: Clock;
   readonly store: ConfigurationStore;
-  readonly completions: CompletionHandler;
-  readonly services: ServiceCaller;
+  readonly completionHandler: CompletionHandler;
+  readonly serviceHandler: ServiceCallHandler;
 }
 
 const COMPLETIONS_PATH = '/v1/chat/completions';
@@ -19,26 +19,30 @@
 export class CallDispatcher {
   constructor(private readonly options: Options) {}
 
-  async dispatch(call: CallerCall): Promise<CallerAnswer> {
+  async dispatch(call: AuthenticatedCall): Promise<CallResponse> {
     if (!this.options.store.current.workspaces[call.workspace])
-      throw workspaceGone();
-    if (isService(call)) return this.options.services.handle(call);
-    if (call.path.split('?')[0] !== COMPLETIONS_PATH) throw notFound(call.path);
-    if (call.method !== 'POST') throw notFound(`${call.method} ${call.path}`);
-    return this.options.completions.handle(call);
+      throw createWorkspaceRemovedProblem();
+    if (isServiceCall(call)) return this.options.serviceHandler.handle(call);
+    if (call.path.split('?')[0] !== COMPLETIONS_PATH)
+      throw createNotFoundProblem(call.path);
+    if (call.method !== 'POST')
+      throw createNotFoundProblem(`${call.method} ${call.path}`);
+    return this.options.completionHandler.handle(call);
   }
 
   /** Whether the call must not be sent to a runner twice. */
-  isOnce(call: CallerCall): boolean {
-    return isService(call) && this.options.services.isOnce(call);
+  isAtMostOnce(call: AuthenticatedCall): boolean {
+    return (
+      isServiceCall(call) && this.options.serviceHandler.isAtMostOnce(call)
+    );
   }
 }
 
-function isService(call: CallerCall): boolean {
+function isServiceCall(call: AuthenticatedCall): boolean {
   return call.path.startsWith(SERVICES_PREFIX);
 }
 
-function notFound(path: string): Problem {
+function createNotFoundProblem(path: string): Problem {
   return new Problem({
     kind: ProblemKind.NOT_FOUND,
     what: `there is nothing at ${path.slice(0, 100)}`,
@@ -47,7 +51,7 @@
   });
 }
 
-function workspaceGone(): Problem {
+function createWorkspaceRemovedProblem(): Problem {
   return new Problem({
     kind: ProblemKind.UNAUTHORIZED,
     what: 'the workspace is no longer configured',
--- a/packages/daemon/src/callers/caller_door.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -16,12 +16,12 @@
 import {createHealthRouter} from '../create_health_router.js';
 import {HttpServer} from '../http_server.js';
 import type {LeavingState} from '../leaving/leaving_state.js';
-import type {CallerAnswer} from './caller_answer.js';
+import type {CallResponse} from './call_response.js';
 import {callerHeaders} from './caller_headers.js';
-import {errorAnswer} from './error_answer.js';
-import type {CallerDesk} from './caller_desk.js';
+import {createErrorResponse} from './create_error_response.js';
+import type {AdmissionController} from './admission_controller.js';
 import type {RawCall} from './raw_call.js';
-import {sendAnswer} from './send_answer.js';
+import {sendResponse} from './send_response.js';
 
 interface Options {
   readonly endpoint: string;
@@ -31,34 +31,34 @@
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
   readonly leaving: LeavingState;
-  readonly desk: CallerDesk;
+  readonly admissionController: AdmissionController;
   /** The largest body that is read, in bytes. */
-  readonly bodyMost: number;
+  readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
   readonly maxConnections: number;
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
   /** How long a stop waits for running requests, in ms. */
-  readonly drainMs: number;
+  readonly drainTimeoutMs: number;
 }
 
 /** Where callers come in. */
-export class CallerDoor implements Service {
+export class CallerServer implements Service {
   readonly name = 'caller door';
   private readonly server: HttpServer;
-  private readonly requests: Counter<'kind' | 'status' | 'outcome'>;
-  private readonly durations: Histogram<'kind'>;
-  private open = 0;
+  private readonly requestsTotal: Counter<'kind' | 'status' | 'outcome'>;
+  private readonly requestSeconds: Histogram<'kind'>;
+  private openRequests = 0;
   address = '';
 
   constructor(private readonly options: Options) {
     const {metrics, endpoint} = options;
-    this.requests = metrics.counter('requests_total', "Callers' requests.", [
-      'kind',
-      'status',
-      'outcome',
-    ]);
-    this.durations = metrics.seconds(
+    this.requestsTotal = metrics.counter(
+      'requests_total',
+      "Callers' requests.",
+      ['kind', 'status', 'outcome'],
+    );
+    this.requestSeconds = metrics.seconds(
       'request_duration_seconds',
       'Time to the end of the answer.',
       ['kind'],
@@ -66,7 +66,7 @@
     metrics.observe(
       'requests_open',
       "Callers' requests in progress.",
-      () => this.open,
+      () => this.openRequests,
     );
     this.server = new HttpServer({
       ...options,
@@ -74,7 +74,9 @@
       endpoint,
       setting: '[callers] listen',
     });
-    this.server.onBadRequest((error, write) => write(rawError(error)));
+    this.server.onBadRequest((error, write) =>
+      write(formatRawErrorResponse(error)),
+    );
   }
 
   async start(): Promise<void> {
@@ -87,7 +89,7 @@
 
   /** Lets running requests finish; new connections are refused at once. */
   async stop(): Promise<void> {
-    const {clock, drainMs, logger} = this.options;
+    const {clock, drainTimeoutMs: drainMs, logger} = this.options;
     const stopped = this.server.stop();
     const late = new AbortController();
     const bound = sleep(clock, drainMs, late.signal).then(() => 'late');
@@ -95,7 +97,7 @@
     late.abort();
     if (first !== 'late') return;
     logger.warn('requests still open at the end of the drain were cut', {
-      open: this.open,
+      open: this.openRequests,
     });
     this.server.destroy();
     await stopped;
@@ -107,8 +109,8 @@
     app.disable('x-powered-by');
     app.disable('etag');
     app.use(createHealthRouter(options));
-    app.use(express.raw({type: () => true, limit: options.bodyMost}));
-    app.use((request, response) => this.answer(request, response));
+    app.use(express.raw({type: () => true, limit: options.maxBodyBytes}));
+    app.use((request, response) => this.handleRequest(request, response));
     app.use(
       (
         error: Error & {status?: number},
@@ -117,19 +119,25 @@
         _next: unknown,
       ) => {
         if (!response.headersSent)
-          void sendAnswer(
+          void sendResponse(
             response,
-            errorAnswer(bodyProblem(error, options.bodyMost), randomUUID()),
+            createErrorResponse(
+              createBodyProblem(error, options.maxBodyBytes),
+              randomUUID(),
+            ),
           );
       },
     );
     return app;
   }
 
-  private async answer(request: Request, response: Response): Promise<void> {
+  private async handleRequest(
+    request: Request,
+    response: Response,
+  ): Promise<void> {
     const {clock, tracing, logger} = this.options;
     const id = randomUUID();
-    const kind = kindOf(request.path);
+    const kind = classifyPath(request.path);
     const startedAt = clock.now();
     const span = tracing.start(
       'caller door',
@@ -141,14 +149,14 @@
     response.on('close', () => {
       if (!response.writableFinished) left.abort();
     });
-    this.open++;
-    let answer: CallerAnswer;
+    this.openRequests++;
+    let answer: CallResponse;
     try {
-      answer = await this.options.desk.answer(
-        toCall(request, {id, signal: left.signal, trace}),
+      answer = await this.options.admissionController.handle(
+        createRawCall(request, {id, signal: left.signal, trace}),
       );
     } catch (error) {
-      answer = errorAnswer(error, id);
+      answer = createErrorResponse(error, id);
       if (
         answer.status >= 500 &&
         !(error instanceof Problem) &&
@@ -161,14 +169,14 @@
       }
     }
     if (this.options.leaving.isLeaving()) response.set('connection', 'close');
-    const whole = await sendAnswer(response, answer, id);
-    this.open--;
+    const whole = await sendResponse(response, answer, id);
+    this.openRequests--;
     const outcome = String(
       answer.headers[callerHeaders.outcome] ?? Outcome.RAN,
     );
     const durationMs = clock.now() - startedAt;
-    this.requests.inc({kind, status: answer.status, outcome});
-    this.durations.observe({kind}, durationMs / 1_000);
+    this.requestsTotal.inc({kind, status: answer.status, outcome});
+    this.requestSeconds.observe({kind}, durationMs / 1_000);
     logger.info('request', {
       requestId: id,
       traceId: span.spanContext().traceId,
@@ -183,7 +191,7 @@
   }
 }
 
-function toCall(
+function createRawCall(
   request: Request,
   known: Pick<RawCall, 'id' | 'signal' | 'trace'>,
 ): RawCall {
@@ -202,14 +210,17 @@
 }
 
 /** A closed set of names for metrics. */
-function kindOf(path: string): string {
+function classifyPath(path: string): string {
   if (path === '/v1/chat/completions') return 'completion';
   if (path === '/v1/models') return 'models';
   if (path === '/v1/tickets') return 'ticket';
   return path.startsWith('/services/') ? 'service' : 'other';
 }
 
-function bodyProblem(error: Error & {status?: number}, most: number): Problem {
+function createBodyProblem(
+  error: Error & {status?: number},
+  most: number,
+): Problem {
   if (error.status === 413) {
     return new Problem({
       kind: ProblemKind.TOO_LARGE,
@@ -226,7 +237,7 @@
 }
 
 /** The answer to bytes that are not a request: written by hand, since there is no response object. */
-function rawError(error: NodeJS.ErrnoException): string {
+function formatRawErrorResponse(error: NodeJS.ErrnoException): string {
   const tooLarge = error.code === 'HPE_HEADER_OVERFLOW';
   const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
   const status = tooLarge
@@ -245,7 +256,7 @@
       ? 'send fewer and shorter headers'
       : 'send the request whole and at once',
   });
-  const answer = errorAnswer(problem, randomUUID());
+  const answer = createErrorResponse(problem, randomUUID());
   const headers = Object.entries(answer.headers).map(
     ([name, value]) => `${name}: ${value}\r\n`,
   );
--- a/packages/daemon/src/callers/callers_plugin.ts
+++ b/packages/daemon/src/callers/callers_plugin.ts
@@ -14,18 +14,18 @@
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
 import {CallDispatcher} from './call_dispatcher.js';
-import {CallerDesk} from './caller_desk.js';
-import {CallerDoor} from './caller_door.js';
+import {AdmissionController} from './admission_controller.js';
+import {CallerServer} from './caller_server.js';
 import {CompletionHandler} from './completions/completion_handler.js';
 import {CompletionService} from './completions/completion_service.js';
-import {DurationBook} from './completions/duration_book.js';
-import {LegRunner} from './completions/leg_runner.js';
-import {ServiceCaller} from './services/service_caller.js';
-import {AnswerHome} from './tickets/answer_home.js';
-import {ClaimKeeper} from './tickets/claim_keeper.js';
-import {KeyClaims} from './tickets/key_claims.js';
-import {KeyedAnswers} from './tickets/keyed_answers.js';
-import {Successors} from './tickets/successors.js';
+import {CompletionTimeEstimator} from './completions/completion_time_estimator.js';
+import {CascadeLegRunner} from './completions/cascade_leg_runner.js';
+import {ServiceCallHandler} from './services/service_call_handler.js';
+import {KeyedCallRunner} from './tickets/keyed_call_runner.js';
+import {ClaimLog} from './tickets/claim_log.js';
+import {KeyClaimer} from './tickets/key_claimer.js';
+import {KeyedCallRouter} from './tickets/keyed_call_router.js';
+import {SuccessorRegistry} from './tickets/successor_registry.js';
 import {VacantPlaceClaims} from './tickets/vacant_place_claims.js';
 
 const sections = {
@@ -106,7 +106,7 @@
     const client = container.get(daemonTokens.peerClient);
     const methods = container.get(daemonTokens.peerMethods);
     const staleness = container.get(daemonTokens.stalenessGuard);
-    const legRunner = new LegRunner({
+    const legRunner = new CascadeLegRunner({
       clock,
       random,
       logger,
@@ -114,9 +114,9 @@
       tracing,
       store,
       membership,
-      staleness,
+      stalenessGuard: staleness,
       pool: container.get(daemonTokens.runnerPool),
-      attemptsMost: callers.attempts,
+      maxAttempts: callers.attempts,
     });
     const completionService = new CompletionService({
       clock,
@@ -124,77 +124,77 @@
       tracing,
       store,
       membership,
-      staleness,
+      stalenessGuard: staleness,
       pool: container.get(daemonTokens.runnerPool),
       legRunner,
-      bills,
-      cascade: cascadeOf(cascade.policy, random),
-      durations: new DurationBook(),
-      ratings: container.get(daemonTokens.ratings),
-      evidence: container.get(daemonTokens.evidence),
-      sessions: seals.sessions,
+      billRecorder: bills,
+      cascadePolicy: createCascadePolicy(cascade.policy, random),
+      completionTimes: new CompletionTimeEstimator(),
+      ratingCollector: container.get(daemonTokens.ratingCollector),
+      ratingTracker: container.get(daemonTokens.ratingTracker),
+      sessionSealer: seals.sessions,
       ratingWaitMs: cascade['rating-wait'],
-      ratingSample: cascade['rating-sample'],
+      ratingSampleRate: cascade['rating-sample'],
     });
     const completions = new CompletionHandler({
       clock,
       store,
-      sessions: seals.sessions,
-      service: completionService,
+      sessionSealer: seals.sessions,
+      completionService: completionService,
     });
-    const services = new ServiceCaller({
+    const services = new ServiceCallHandler({
       clock,
       random,
       logger,
       tracing,
       store,
-      bills,
-      pool: container.get(daemonTokens.servicePool),
-      attemptsMost: callers.attempts,
-      collectMost: callers['service-collect'],
-      deadlineMs: callers['service-deadline'],
+      billRecorder: bills,
+      pool: container.get(daemonTokens.serviceRunnerPool),
+      maxAttempts: callers.attempts,
+      maxBufferedBytes: callers['service-collect'],
+      defaultDeadlineMs: callers['service-deadline'],
     });
     const dispatcher = new CallDispatcher({
       clock,
       store,
-      completions,
-      services,
+      completionHandler: completions,
+      serviceHandler: services,
     });
-    const home = new AnswerHome({
+    const home = new KeyedCallRunner({
       clock,
       dispatcher,
-      keepMs: tickets.keep,
-      bytesMost: tickets.memory,
+      retentionMs: tickets.keep,
+      maxCacheBytes: tickets.memory,
     });
     const createKeeper = (place: string) =>
-      new ClaimKeeper({
+      new ClaimLog({
         clock,
         random,
         logger,
         identity,
         place,
         log: container.get(daemonTokens.log),
-        seal: seals.records,
-        windowMs: tickets.window,
-        pollMs: tickets['claim-poll'],
-        timeoutMs: tickets['claim-timeout'],
+        sealer: seals.records,
+        claimTtlMs: tickets.window,
+        longPollMs: tickets['claim-poll'],
+        claimTimeoutMs: tickets['claim-timeout'],
       });
     const claims = createKeeper(identity.place);
-    const vacantClaims = new VacantPlaceClaims({createKeeper});
+    const vacantClaims = new VacantPlaceClaims({createClaimLog: createKeeper});
     metrics.observe(
       'claims_kept',
       "Callers' own keys that are claimed in this place.",
       () => claims.size,
     );
-    const successors = new Successors({
+    const successors = new SuccessorRegistry({
       logger,
       identity,
       membership,
       client,
       methods,
-      memory: home.memory,
+      cache: home.cache,
     });
-    const keyed = new KeyedAnswers({
+    const keyed = new KeyedCallRouter({
       clock,
       logger,
       tracing,
@@ -203,31 +203,31 @@
       membership,
       client,
       methods,
-      home,
-      claims: new KeyClaims({
+      callRunner: home,
+      keyClaimer: new KeyClaimer({
         identity,
         membership,
         client,
-        home,
-        claims,
-        vacantClaims,
+        callRunner: home,
+        claimLog: claims,
+        vacantPlaceClaims: vacantClaims,
       }),
       successors,
       dispatcher,
-      seal: seals.tickets,
-      ticketLifeMs: tickets.life,
-      forwardMs: callers['service-deadline'],
+      ticketSealer: seals.tickets,
+      ticketTtlMs: tickets.life,
+      defaultForwardTimeoutMs: callers['service-deadline'],
     });
-    const desk = new CallerDesk({
+    const desk = new AdmissionController({
       store,
       dispatcher,
-      keyed,
+      keyedCallRouter: keyed,
       leaving: container.get(daemonTokens.leavingState),
-      limits: container.get(daemonTokens.workspaceLimits),
+      rateLimiter: container.get(daemonTokens.workspaceLimits),
     });
-    container.bind(daemonTokens.callerDesk).toConstantValue(desk);
-    const door = new CallerDoor({
-      desk,
+    container.bind(daemonTokens.admissionController).toConstantValue(desk);
+    const door = new CallerServer({
+      admissionController: desk,
       clock,
       logger,
       metrics,
@@ -235,19 +235,22 @@
       store,
       endpoint: callers.listen,
       leaving: container.get(daemonTokens.leavingState),
-      bodyMost: callers['body-limit'],
+      maxBodyBytes: callers['body-limit'],
       maxHeaderBytes: callers['header-limit'],
       maxConnections: callers.connections,
       headersTimeoutMs: callers['headers-timeout'],
       requestTimeoutMs: callers['request-timeout'],
-      drainMs: callers.drain,
+      drainTimeoutMs: callers.drain,
     });
     for (const service of [claims, vacantClaims, keyed, door])
       container.bind(tokens.service).toConstantValue(service);
   },
 };
 
-function cascadeOf(policy: string, random: RandomSource): CascadePolicy {
+function createCascadePolicy(
+  policy: string,
+  random: RandomSource,
+): CascadePolicy {
   if (policy === 'strong-only') return new StrongestModelOnly();
   if (policy === 'cheap-only') return new CheapestModelOnly();
   return new LearnedCascade({random});
--- a/packages/daemon/src/callers/completions/leg.ts
+++ b/packages/daemon/src/callers/completions/cascade_leg.ts
@@ -1,7 +1,7 @@
 import type {Usage, Version} from '@bayspool/decisions';
 
 /** One model's try at a request, and what it came to so far. */
-export interface Leg {
+export interface CascadeLeg {
   readonly version: Version;
   /** The id by which the leg is rated. */
   readonly ratingId: string;
--- a/packages/daemon/src/callers/completions/leg_runner.ts
+++ b/packages/daemon/src/callers/completions/cascade_leg_runner.ts
@@ -24,13 +24,13 @@
 import type {Context} from '@opentelemetry/api';
 import type {Counter} from 'prom-client';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
-import type {Grant} from '../../runners/grant.js';
-import {GrantResult} from '../../runners/grant_result.js';
+import type {SlotReservation} from '../../runners/slot_reservation.js';
+import {AttemptResult} from '../../runners/attempt_result.js';
 import type {RunnerPool} from '../../runners/runner_pool.js';
-import type {AnswerPart} from './answer_part.js';
+import type {CompletionEvent} from './completion_event.js';
 import type {CompletionRequest} from './completion_request.js';
-import type {Leg} from './leg.js';
-import {legProblems} from './leg_problems.js';
+import type {CascadeLeg} from './cascade_leg.js';
+import {legFailures} from './leg_failures.js';
 import type {StalenessGuard} from '../../configuration/staleness_guard.js';
 
 interface Options {
@@ -42,45 +42,53 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   readonly pool: RunnerPool;
-  readonly staleness: StalenessGuard;
+  readonly stalenessGuard: StalenessGuard;
   /** Attempts at one leg at most, the first included. */
-  readonly attemptsMost: number;
+  readonly maxAttempts: number;
 }
 
-const BACKOFF_FIRST_MS = 20;
-const BACKOFF_MOST_MS = 500;
+const INITIAL_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 500;
 
 /**
  * Runs one leg: waits for a runner, passes its tokens on, and when an attempt
  * fails goes on from the last token at the same version, within the retry budget
  * and the deadline. Each token is passed on once and in order.
  */
-export class LegRunner {
-  private readonly budget = new RetryBudget();
-  private readonly attempts: Counter<'result'>;
+export class CascadeLegRunner {
+  private readonly retryBudget = new RetryBudget();
+  private readonly attemptsTotal: Counter<'result'>;
 
   constructor(private readonly options: Options) {
-    this.attempts = options.metrics.counter(
+    this.attemptsTotal = options.metrics.counter(
       'attempts_total',
       'Attempts at runners.',
       ['result'],
     );
   }
 
-  async *run(request: CompletionRequest, leg: Leg): AsyncGenerator<AnswerPart> {
+  async *run(
+    request: CompletionRequest,
+    leg: CascadeLeg,
+  ): AsyncGenerator<CompletionEvent> {
     const {clock, random} = this.options;
     const avoid = new Set<string>();
     const backoff = new Backoff({
       random,
-      initialMs: BACKOFF_FIRST_MS,
-      maxMs: BACKOFF_MOST_MS,
+      initialMs: INITIAL_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
     const prefixes = hashPromptPrefixes(leg.version.id, request.prompt);
-    this.budget.recordFirstAttempt();
+    this.retryBudget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
-      const grant = await this.acquireFresh(request, leg, prefixes, avoid);
+      const grant = await this.acquireWithFreshConfiguration(
+        request,
+        leg,
+        prefixes,
+        avoid,
+      );
       const span = this.options.tracing.start('attempt', request.trace, {
-        runner: grant.target.id,
+        runner: grant.backend.id,
         version: leg.version.id,
         attempt,
       });
@@ -94,16 +102,17 @@
         );
         return;
       } catch (error) {
-        if (request.signal.aborted) throw legProblems.cancelled(leg);
-        const failure = legProblems.toFailure(error);
+        if (request.signal.aborted)
+          throw legFailures.createCancelledFailure(leg);
+        const failure = legFailures.toRunnerFailure(error);
         this.options.logger.info('attempt failed', {
           requestId: request.id,
-          runner: grant.target.id,
+          runner: grant.backend.id,
           error: failure.message,
         });
         if (!this.mayRetry(request, failure, attempt))
-          throw legProblems.givenUp(failure, leg);
-        avoid.add(grant.target.id);
+          throw legFailures.createFinalFailure(failure, leg);
+        avoid.add(grant.backend.id);
       } finally {
         span.end();
       }
@@ -112,18 +121,18 @@
   }
 
   /** Acquires a runner; when the configuration has become old meanwhile, it is refreshed and asked again. */
-  private async acquireFresh(
+  private async acquireWithFreshConfiguration(
     request: CompletionRequest,
-    leg: Leg,
+    leg: CascadeLeg,
     prefixes: readonly string[],
     avoid: ReadonlySet<string>,
-  ): Promise<Grant<Runner>> {
+  ): Promise<SlotReservation<Runner>> {
     const grant = await this.acquire(request, leg, prefixes, avoid);
-    if (!this.options.staleness.isStale()) return grant;
-    await this.options.staleness.refreshIfStale();
-    const problem = this.recheck(request, leg);
+    if (!this.options.stalenessGuard.isStale()) return grant;
+    await this.options.stalenessGuard.refreshIfStale();
+    const problem = this.revalidate(request, leg);
     if (!problem) return grant;
-    grant.release(GrantResult.CANCELLED);
+    grant.release(AttemptResult.CANCELLED);
     throw leg.mayHaveRun
       ? new RequestFailure(problem, Outcome.UNKNOWN)
       : problem;
@@ -131,10 +140,10 @@
 
   private async acquire(
     request: CompletionRequest,
-    leg: Leg,
+    leg: CascadeLeg,
     prefixes: readonly string[],
     avoid: ReadonlySet<string>,
-  ): Promise<Grant<Runner>> {
+  ): Promise<SlotReservation<Runner>> {
     const {store} = this.options;
     const {workspace} = request;
     const home = store.current.workspaces[workspace.id]?.home ?? workspace.home;
@@ -151,10 +160,10 @@
           places: [
             ...new Set([resolveServingPlace(store.current, home), home]),
           ],
-          crossing: workspace.crossing,
+          allowsCrossing: workspace.crossing,
           prefixes,
-          avoid,
-          recheck: () => this.recheck(request, leg),
+          avoidedIds: avoid,
+          revalidate: () => this.revalidate(request, leg),
         },
         request.signal,
       );
@@ -168,13 +177,16 @@
   }
 
   /** Whether the version may still have new work for this request: asked at the moment of dispatch. */
-  private recheck(request: CompletionRequest, leg: Leg): Problem | undefined {
+  private revalidate(
+    request: CompletionRequest,
+    leg: CascadeLeg,
+  ): Problem | undefined {
     const eligible = findEligibleVersions(this.options.store.current, {
       workspace: request.workspace.id,
       task: request.taskName,
       selector: request.selector,
       session: request.session,
-      stale: this.options.staleness.isStale(),
+      stale: this.options.stalenessGuard.isStale(),
       suspects: this.options.membership.collectSuspects(),
     });
     return eligible.caseOf({
@@ -182,22 +194,22 @@
       Right: versions =>
         versions.some(version => version.id === leg.version.id)
           ? undefined
-          : legProblems.overtaken(leg),
+          : legFailures.createVersionUnavailableProblem(leg),
     });
   }
 
   private async *attempt(
     request: CompletionRequest,
-    leg: Leg,
-    grant: Grant<Runner>,
+    leg: CascadeLeg,
+    grant: SlotReservation<Runner>,
     prefixes: readonly string[],
     trace: Context,
-  ): AsyncGenerator<AnswerPart> {
-    let result: GrantResult = GrantResult.CANCELLED;
+  ): AsyncGenerator<CompletionEvent> {
+    let result: AttemptResult = AttemptResult.CANCELLED;
     const mayHaveRunBefore = leg.mayHaveRun;
     leg.mayHaveRun = true;
     try {
-      const events = grant.target.generate(
+      const events = grant.backend.generate(
         {
           requestId: request.id,
           version: leg.version.id,
@@ -210,31 +222,33 @@
         },
         request.signal,
       );
-      yield* this.pass(request, leg, events);
-      result = GrantResult.OK;
+      yield* this.relayEvents(request, leg, events);
+      result = AttemptResult.OK;
     } catch (error) {
-      const failure = legProblems.toFailure(error);
+      const failure = legFailures.toRunnerFailure(error);
       result = request.signal.aborted
-        ? GrantResult.CANCELLED
+        ? AttemptResult.CANCELLED
         : failure.busy
-          ? GrantResult.BUSY
-          : GrantResult.FAILED;
+          ? AttemptResult.BUSY
+          : AttemptResult.FAILED;
       if (!failure.mayHaveRun) leg.mayHaveRun = mayHaveRunBefore;
       throw failure;
     } finally {
       grant.release(result);
-      this.attempts.inc({result});
+      this.attemptsTotal.inc({result});
     }
   }
 
-  private async *pass(
+  private async *relayEvents(
     request: CompletionRequest,
-    leg: Leg,
+    leg: CascadeLeg,
     events: AsyncIterable<GenerateEvent>,
-  ): AsyncGenerator<AnswerPart> {
+  ): AsyncGenerator<CompletionEvent> {
     for await (const event of events) {
       if (event.requestId !== request.id)
-        throw legProblems.broken('the runner sent a part of another request');
+        throw legFailures.createProtocolFailure(
+          'the runner sent a part of another request',
+        );
       if (event.kind === 'final') {
         leg.usage = event.usage;
         yield {
@@ -246,12 +260,14 @@
       }
       if (event.index < leg.tokens) continue;
       if (event.index > leg.tokens)
-        throw legProblems.broken('a token is missing');
+        throw legFailures.createProtocolFailure('a token is missing');
       leg.tokens++;
       leg.text += event.text;
       yield {kind: 'token', text: event.text};
     }
-    throw legProblems.broken('the answer ended without its final mark');
+    throw legFailures.createProtocolFailure(
+      'the answer ended without its final mark',
+    );
   }
 
   private mayRetry(
@@ -259,8 +275,8 @@
     failure: RunnerFailure,
     attempt: number,
   ): boolean {
-    if (attempt >= this.options.attemptsMost) return false;
+    if (attempt >= this.options.maxAttempts) return false;
     if (this.options.clock.now() >= request.deadlineAt) return false;
-    return failure.busy || this.budget.trySpend();
+    return failure.busy || this.retryBudget.trySpend();
   }
 }
--- a/packages/daemon/src/callers/completions/leg_planner.ts
+++ b/packages/daemon/src/callers/completions/cascade_planner.ts
@@ -13,42 +13,49 @@
 } from '@bayspool/kernel';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
 import type {StalenessGuard} from '../../configuration/staleness_guard.js';
-import type {EvidenceBook} from '../../ratings/evidence_book.js';
-import type {RatingBook} from '../../ratings/rating_book.js';
+import type {VersionRatingTracker} from '../../ratings/version_rating_tracker.js';
+import type {RatingCollector} from '../../ratings/rating_collector.js';
 import type {RunnerPool} from '../../runners/runner_pool.js';
 import type {CompletionRequest} from './completion_request.js';
-import type {DurationBook} from './duration_book.js';
-import type {Leg} from './leg.js';
+import type {CompletionTimeEstimator} from './completion_time_estimator.js';
+import type {CascadeLeg} from './cascade_leg.js';
 
 interface Options {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly staleness: StalenessGuard;
+  readonly stalenessGuard: StalenessGuard;
   readonly pool: RunnerPool;
-  readonly cascade: CascadePolicy;
-  readonly durations: DurationBook;
-  readonly ratings: RatingBook;
-  readonly evidence: EvidenceBook;
+  readonly cascadePolicy: CascadePolicy;
+  readonly completionTimes: CompletionTimeEstimator;
+  readonly ratingCollector: RatingCollector;
+  readonly ratingTracker: VersionRatingTracker;
   /** How long a held answer waits for its rating, in ms. */
   readonly ratingWaitMs: number;
 }
 
 /** Chooses the versions that try a request, in order. */
-export class LegPlanner {
+export class CascadePlanner {
   constructor(private readonly options: Options) {}
 
   /** The legs of a request, at least one; a problem is thrown if no version may take it. */
-  plan(request: CompletionRequest): Leg[] {
+  plan(request: CompletionRequest): CascadeLeg[] {
     return this.chooseVersions(request).map((version, index) =>
-      toLeg(version, request.id, index),
+      createLeg(version, request.id, index),
     );
   }
 
   private chooseVersions(request: CompletionRequest): readonly Version[] {
-    const {store, staleness, membership, random, evidence, cascade, clock} =
-      this.options;
+    const {
+      store,
+      stalenessGuard: staleness,
+      membership,
+      random,
+      ratingTracker: evidence,
+      cascadePolicy: cascade,
+      clock,
+    } = this.options;
     const eligible = findEligibleVersions(store.current, {
       workspace: request.workspace.id,
       task: request.taskName,
@@ -66,19 +73,19 @@
     if (request.session) return versions;
     const picked = pickVersions(versions, {
       random,
-      hasExposureBudget: version => evidence.mayExpose(version),
-      isLoaded: version => this.options.pool.carries(version.id),
+      hasExposureBudget: version => evidence.hasExposureBudget(version),
+      isLoaded: version => this.options.pool.canServe(version.id),
     });
-    if (picked.length === 0) throw exposureUsedUp();
+    if (picked.length === 0) throw createExposureExhaustedProblem();
     const now = clock.now();
     const candidates = picked.map(version => ({
       version,
-      estimate: this.options.ratings.estimate(
+      estimate: this.options.ratingCollector.getEstimate(
         request.workspace.id,
         request.taskName,
         version.id,
       ),
-      expectedMs: this.options.durations.expected(version.id),
+      expectedMs: this.options.completionTimes.estimateMs(version.id),
     }));
     return cascade.plan(candidates, {
       quality: request.task.quality,
@@ -90,7 +97,11 @@
   }
 }
 
-function toLeg(version: Version, requestId: string, index: number): Leg {
+function createLeg(
+  version: Version,
+  requestId: string,
+  index: number,
+): CascadeLeg {
   const ratingId = index === 0 ? requestId : `${requestId}.${index}`;
   return {
     version,
@@ -102,7 +113,7 @@
   };
 }
 
-function exposureUsedUp(): Problem {
+function createExposureExhaustedProblem(): Problem {
   return new Problem({
     kind: ProblemKind.NO_RUNNER,
     what: 'the only version left is rolling out and has its share of unrated answers out',
--- a/packages/daemon/src/callers/completions/whole_answer.ts
+++ b/packages/daemon/src/callers/completions/collect_completion.ts
@@ -1,31 +1,37 @@
 import {Outcome, RequestFailure, type Usage} from '@bayspool/decisions';
 import {Problem, ProblemKind} from '@bayspool/kernel';
-import type {OpenCompletion} from './open_completion.js';
-import {usageObject} from './usage_object.js';
+import type {StartedCompletion} from './started_completion.js';
+import {formatUsage} from './format_usage.js';
 
 /** Collects an answer into one OpenAI `chat.completion` object. */
-export async function wholeAnswer(
+export async function collectCompletion(
   requestId: string,
-  open: OpenCompletion,
+  open: StartedCompletion,
 ): Promise<Buffer> {
   let text = '';
-  for await (const part of open.parts) {
+  for await (const part of open.events) {
     if (part.kind === 'token') {
       text += part.text;
       continue;
     }
     return Buffer.from(
       JSON.stringify(
-        toObject(requestId, open, text, part.finishReason, part.usage),
+        createCompletionObject(
+          requestId,
+          open,
+          text,
+          part.finishReason,
+          part.usage,
+        ),
       ),
     );
   }
-  throw new RequestFailure(cutProblem(), Outcome.UNKNOWN);
+  throw new RequestFailure(createTruncatedProblem(), Outcome.UNKNOWN);
 }
 
-function toObject(
+function createCompletionObject(
   id: string,
-  open: OpenCompletion,
+  open: StartedCompletion,
   content: string,
   finishReason: string,
   usage: Usage,
@@ -43,11 +49,11 @@
         finish_reason: finishReason,
       },
     ],
-    usage: usageObject(usage),
+    usage: formatUsage(usage),
   };
 }
 
-function cutProblem(): Problem {
+function createTruncatedProblem(): Problem {
   return new Problem({
     kind: ProblemKind.OUTCOME_UNKNOWN,
     what: 'the answer ended before it was whole',
--- a/packages/daemon/src/callers/completions/completion_body.ts
+++ b/packages/daemon/src/callers/completions/completion_body.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 
-const MESSAGES_MOST = 2_000;
-const TOKENS_MOST = 131_072;
+const MAX_MESSAGES = 2_000;
+const MAX_TOKENS = 131_072;
 
 const contentPart = z.looseObject({type: z.string()});
 const message = z.looseObject({
@@ -19,13 +19,13 @@
 /** The body of `POST /v1/chat/completions`. Fields that are not named here are passed on to the engine. */
 export const completionBody = z.looseObject({
   model: z.string().min(1).max(128),
-  messages: z.array(message).min(1).max(MESSAGES_MOST),
+  messages: z.array(message).min(1).max(MAX_MESSAGES),
   stream: z.boolean().nullish(),
   stream_options: z
     .looseObject({include_usage: z.boolean().optional()})
     .nullish(),
-  max_tokens: z.int().min(1).max(TOKENS_MOST).nullish(),
-  max_completion_tokens: z.int().min(1).max(TOKENS_MOST).nullish(),
+  max_tokens: z.int().min(1).max(MAX_TOKENS).nullish(),
+  max_completion_tokens: z.int().min(1).max(MAX_TOKENS).nullish(),
   temperature: z.number().min(0).max(2).nullish(),
   top_p: z.number().min(0).max(1).nullish(),
   /** Only one choice is generated. */
--- a/packages/daemon/src/callers/completions/completion_handler.ts
+++ b/packages/daemon/src/callers/completions/completion_handler.ts
@@ -7,25 +7,25 @@
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
 import type {z} from 'zod';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
-import type {CallerAnswer} from '../caller_answer.js';
-import type {CallerCall} from '../caller_call.js';
+import type {CallResponse} from '../call_response.js';
+import type {AuthenticatedCall} from '../authenticated_call.js';
 import {callerHeaders} from '../caller_headers.js';
 import {parseJsonBody} from '../parse_json_body.js';
 import {completionBody} from './completion_body.js';
 import type {CompletionRequest} from './completion_request.js';
 import type {CompletionService} from './completion_service.js';
-import type {OpenCompletion} from './open_completion.js';
-import {streamChunks} from './stream_chunks.js';
-import {wholeAnswer} from './whole_answer.js';
+import type {StartedCompletion} from './started_completion.js';
+import {formatStreamChunks} from './format_stream_chunks.js';
+import {collectCompletion} from './collect_completion.js';
 
 interface Options {
   readonly clock: Clock;
   readonly store: ConfigurationStore;
-  readonly sessions: SessionSealer;
-  readonly service: CompletionService;
+  readonly sessionSealer: SessionSealer;
+  readonly completionService: CompletionService;
 }
 
-type Body = z.output<typeof completionBody>;
+type CompletionBody = z.output<typeof completionBody>;
 
 const DEFAULT_TASK = 'default';
 
@@ -33,13 +33,13 @@
 export class CompletionHandler {
   constructor(private readonly options: Options) {}
 
-  async handle(call: CallerCall): Promise<CallerAnswer> {
+  async handle(call: AuthenticatedCall): Promise<CallResponse> {
     const body = parseJsonBody(call.body, completionBody);
-    const request = this.toRequest(call, body);
-    const open = await this.options.service.open(request);
-    const headers = headersOf(call, open);
+    const request = this.createRequest(call, body);
+    const open = await this.options.completionService.start(request);
+    const headers = createHeaders(call, open);
     if (!request.stream) {
-      const answer = await wholeAnswer(call.id, open);
+      const answer = await collectCompletion(call.id, open);
       return {
         status: 200,
         headers: {...headers, 'content-type': 'application/json'},
@@ -54,18 +54,21 @@
         'content-type': 'text/event-stream; charset=utf-8',
         'cache-control': 'no-cache',
       },
-      body: streamChunks(call.id, open, includeUsage),
+      body: formatStreamChunks(call.id, open, includeUsage),
     };
   }
 
-  private toRequest(call: CallerCall, body: Body): CompletionRequest {
+  private createRequest(
+    call: AuthenticatedCall,
+    body: CompletionBody,
+  ): CompletionRequest {
     const {store, clock} = this.options;
     const workspace = store.current.workspaces[call.workspace];
     const taskName = call.headers[callerHeaders.task] ?? DEFAULT_TASK;
     const task = Object.hasOwn(workspace.tasks, taskName)
       ? workspace.tasks[taskName]
       : undefined;
-    if (!task) throw unknownTask(workspace, taskName);
+    if (!task) throw createUnknownTaskProblem(workspace, taskName);
     return {
       id: call.id,
       billId: call.billId,
@@ -74,7 +77,7 @@
       task,
       priority: task.priority,
       selector: body.model,
-      session: this.sessionOf(call),
+      session: this.openSession(call),
       body,
       prompt: renderPromptText(body),
       stream: body.stream ?? false,
@@ -84,10 +87,10 @@
     };
   }
 
-  private sessionOf(call: CallerCall): CompletionRequest['session'] {
+  private openSession(call: AuthenticatedCall): CompletionRequest['session'] {
     const text = call.headers[callerHeaders.session];
     if (text === undefined) return undefined;
-    return this.options.sessions.open(text, call.workspace).caseOf({
+    return this.options.sessionSealer.open(text, call.workspace).caseOf({
       Left: problem => {
         throw problem;
       },
@@ -96,19 +99,19 @@
   }
 }
 
-function headersOf(
-  call: CallerCall,
-  open: OpenCompletion,
+function createHeaders(
+  call: AuthenticatedCall,
+  open: StartedCompletion,
 ): Record<string, string> {
   return {
     [callerHeaders.requestId]: call.id,
     [callerHeaders.outcome]: Outcome.RAN,
     [callerHeaders.version]: open.version.id,
-    [callerHeaders.session]: open.session,
+    [callerHeaders.session]: open.sealedSession,
   };
 }
 
-function unknownTask(workspace: Workspace, task: string): Problem {
+function createUnknownTaskProblem(workspace: Workspace, task: string): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: `this workspace has no task ${JSON.stringify(task)}`,
--- a/packages/daemon/src/callers/completions/completion_service.ts
+++ b/packages/daemon/src/callers/completions/completion_service.ts
@@ -7,18 +7,18 @@
 } from '@bayspool/decisions';
 import type {Clock, RandomSource, Tracing} from '@bayspool/kernel';
 import type {BillRecorder} from '../../billing/bill_recorder.js';
-import {noRoomForBills} from '../no_room_for_bills.js';
+import {createBillBacklogProblem} from '../create_bill_backlog_problem.js';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
-import type {EvidenceBook} from '../../ratings/evidence_book.js';
-import type {RatingBook} from '../../ratings/rating_book.js';
+import type {VersionRatingTracker} from '../../ratings/version_rating_tracker.js';
+import type {RatingCollector} from '../../ratings/rating_collector.js';
 import type {RunnerPool} from '../../runners/runner_pool.js';
-import type {AnswerPart} from './answer_part.js';
+import type {CompletionEvent} from './completion_event.js';
 import type {CompletionRequest} from './completion_request.js';
-import type {DurationBook} from './duration_book.js';
-import type {Leg} from './leg.js';
-import {LegPlanner} from './leg_planner.js';
-import type {LegRunner} from './leg_runner.js';
-import type {OpenCompletion} from './open_completion.js';
+import type {CompletionTimeEstimator} from './completion_time_estimator.js';
+import type {CascadeLeg} from './cascade_leg.js';
+import {CascadePlanner} from './cascade_planner.js';
+import type {CascadeLegRunner} from './cascade_leg_runner.js';
+import type {StartedCompletion} from './started_completion.js';
 import type {StalenessGuard} from '../../configuration/staleness_guard.js';
 
 interface Options {
@@ -27,154 +27,159 @@
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly staleness: StalenessGuard;
+  readonly stalenessGuard: StalenessGuard;
   readonly pool: RunnerPool;
-  readonly legRunner: LegRunner;
-  readonly cascade: CascadePolicy;
-  readonly durations: DurationBook;
-  readonly ratings: RatingBook;
-  readonly evidence: EvidenceBook;
-  readonly bills: BillRecorder;
-  readonly sessions: SessionSealer;
+  readonly legRunner: CascadeLegRunner;
+  readonly cascadePolicy: CascadePolicy;
+  readonly completionTimes: CompletionTimeEstimator;
+  readonly ratingCollector: RatingCollector;
+  readonly ratingTracker: VersionRatingTracker;
+  readonly billRecorder: BillRecorder;
+  readonly sessionSealer: SessionSealer;
   /** How long a held answer waits for its rating, in ms. */
   readonly ratingWaitMs: number;
   /** The part of answers handed in for rating when nothing asks for it. */
-  readonly ratingSample: number;
+  readonly ratingSampleRate: number;
 }
 
 const THOUSAND = 1_000;
 
 /** Answers requests: chooses versions, runs the legs of a cascade, bills once, and has answers rated. */
 export class CompletionService {
-  private readonly planner: LegPlanner;
+  private readonly planner: CascadePlanner;
 
   constructor(private readonly options: Options) {
-    this.planner = new LegPlanner(options);
+    this.planner = new CascadePlanner(options);
   }
 
   /** Gives the answer once its first part is there; problems before that are thrown. */
-  async open(request: CompletionRequest): Promise<OpenCompletion> {
-    if (!this.options.bills.hasCapacity()) throw noRoomForBills();
-    await this.options.staleness.refreshIfStale();
+  async start(request: CompletionRequest): Promise<StartedCompletion> {
+    if (!this.options.billRecorder.hasCapacity())
+      throw createBillBacklogProblem();
+    await this.options.stalenessGuard.refreshIfStale();
     const legs = this.planner.plan(request);
-    const done: Leg[] = [];
+    const done: CascadeLeg[] = [];
     try {
       for (const leg of legs) {
         done.push(leg);
         const isLast = leg === legs[legs.length - 1];
-        const opened = isLast
-          ? await this.openLast(request, leg, done)
-          : await this.tryHeld(request, leg, done);
-        if (opened) return opened;
+        const started = isLast
+          ? await this.startFinalLeg(request, leg, done)
+          : await this.runGatedLeg(request, leg, done);
+        if (started) return started;
       }
     } catch (error) {
-      this.billUnfinished(request, done);
+      this.billPartial(request, done);
       throw error;
     }
     throw new Error('a cascade has at least one leg');
   }
 
   /** Runs a leg that is followed by another: its answer is held, and given only when rated good. */
-  private async tryHeld(
+  private async runGatedLeg(
     request: CompletionRequest,
-    leg: Leg,
-    done: readonly Leg[],
-  ): Promise<OpenCompletion | undefined> {
-    const parts = await this.collect(request, leg);
+    leg: CascadeLeg,
+    done: readonly CascadeLeg[],
+  ): Promise<StartedCompletion | undefined> {
+    const parts = await this.collectEvents(request, leg);
     const good = await this.options.tracing.run('rating', request.trace, () =>
-      this.rate(request, leg, this.options.ratingWaitMs),
+      this.requestRating(request, leg, this.options.ratingWaitMs),
     );
     if (good !== true) return undefined;
-    await this.options.bills.record(this.billOf(request, done, true));
-    return this.opened(request, leg, replay(parts));
+    await this.options.billRecorder.record(
+      this.createBill(request, done, true),
+    );
+    return this.createStartedCompletion(request, leg, replay(parts));
   }
 
-  private async openLast(
+  private async startFinalLeg(
     request: CompletionRequest,
-    leg: Leg,
-    done: readonly Leg[],
-  ): Promise<OpenCompletion> {
+    leg: CascadeLeg,
+    done: readonly CascadeLeg[],
+  ): Promise<StartedCompletion> {
     const startedAt = this.options.clock.now();
     const parts = this.options.legRunner.run(request, leg);
-    this.noteExposure(leg);
-    const first = await this.firstOf(parts, leg);
-    const rest = this.finish(request, leg, done, parts, startedAt);
-    return this.opened(request, leg, chain(first, rest));
+    this.recordExposure(leg);
+    const first = await this.awaitFirstEvent(parts, leg);
+    const rest = this.relayRest(request, leg, done, parts, startedAt);
+    return this.createStartedCompletion(request, leg, prepend(first, rest));
   }
 
-  private async firstOf(
-    parts: AsyncGenerator<AnswerPart>,
-    leg: Leg,
-  ): Promise<AnswerPart> {
+  private async awaitFirstEvent(
+    parts: AsyncGenerator<CompletionEvent>,
+    leg: CascadeLeg,
+  ): Promise<CompletionEvent> {
     try {
       const first = await parts.next();
-      return first.value as AnswerPart;
+      return first.value as CompletionEvent;
     } catch (error) {
-      this.options.evidence.dropped(leg.version.id, leg.ratingId);
+      this.options.ratingTracker.cancelExposure(leg.version.id, leg.ratingId);
       throw error;
     }
   }
 
   /** Passes the rest on; the bill stands on a second host before the final part is released. */
-  private async *finish(
+  private async *relayRest(
     request: CompletionRequest,
-    leg: Leg,
-    done: readonly Leg[],
-    parts: AsyncGenerator<AnswerPart>,
+    leg: CascadeLeg,
+    done: readonly CascadeLeg[],
+    parts: AsyncGenerator<CompletionEvent>,
     startedAt: number,
-  ): AsyncGenerator<AnswerPart> {
+  ): AsyncGenerator<CompletionEvent> {
     let whole = false;
     try {
       for await (const part of parts) {
         if (part.kind === 'final') {
           whole = true;
-          this.options.durations.took(
+          this.options.completionTimes.recordDuration(
             leg.version.id,
             this.options.clock.now() - startedAt,
           );
-          await this.options.bills.record(this.billOf(request, done, true));
+          await this.options.billRecorder.record(
+            this.createBill(request, done, true),
+          );
         }
         yield part;
       }
     } finally {
-      if (whole) this.rateLater(request, leg);
-      else this.abandon(request, leg, done);
+      if (whole) this.rateIfSampled(request, leg);
+      else this.recordIncomplete(request, leg, done);
     }
   }
 
-  private async collect(
+  private async collectEvents(
     request: CompletionRequest,
-    leg: Leg,
-  ): Promise<AnswerPart[]> {
+    leg: CascadeLeg,
+  ): Promise<CompletionEvent[]> {
     const startedAt = this.options.clock.now();
-    const parts: AnswerPart[] = [];
-    this.noteExposure(leg);
+    const parts: CompletionEvent[] = [];
+    this.recordExposure(leg);
     try {
       for await (const part of this.options.legRunner.run(request, leg))
         parts.push(part);
     } catch (error) {
-      this.options.evidence.dropped(leg.version.id, leg.ratingId);
+      this.options.ratingTracker.cancelExposure(leg.version.id, leg.ratingId);
       throw error;
     }
-    this.options.durations.took(
+    this.options.completionTimes.recordDuration(
       leg.version.id,
       this.options.clock.now() - startedAt,
     );
     return parts;
   }
 
-  private noteExposure(leg: Leg): void {
+  private recordExposure(leg: CascadeLeg): void {
     if (leg.version.rollOut)
-      this.options.evidence.opened(leg.version.id, leg.ratingId);
+      this.options.ratingTracker.recordExposure(leg.version.id, leg.ratingId);
   }
 
-  private rate(
+  private requestRating(
     request: CompletionRequest,
-    leg: Leg,
+    leg: CascadeLeg,
     waitMs: number,
   ): Promise<boolean | undefined> {
-    this.options.evidence.opened(leg.version.id, leg.ratingId);
-    return this.options.ratings.rate(
+    this.options.ratingTracker.recordExposure(leg.version.id, leg.ratingId);
+    return this.options.ratingCollector.requestRating(
       {
         requestId: leg.ratingId,
         version: leg.version.id,
@@ -186,34 +191,36 @@
     );
   }
 
-  private rateLater(request: CompletionRequest, leg: Leg): void {
+  private rateIfSampled(request: CompletionRequest, leg: CascadeLeg): void {
     const wanted =
       leg.version.rollOut !== undefined ||
-      this.options.random.next() < this.options.ratingSample;
-    if (wanted) void this.rate(request, leg, 0);
+      this.options.random.next() < this.options.ratingSampleRate;
+    if (wanted) void this.requestRating(request, leg, 0);
   }
 
-  private abandon(
+  private recordIncomplete(
     request: CompletionRequest,
-    leg: Leg,
-    done: readonly Leg[],
+    leg: CascadeLeg,
+    done: readonly CascadeLeg[],
   ): void {
-    this.options.evidence.dropped(leg.version.id, leg.ratingId);
-    this.billUnfinished(request, done);
+    this.options.ratingTracker.cancelExposure(leg.version.id, leg.ratingId);
+    this.billPartial(request, done);
   }
 
   /** What ran is billed although the caller did not get the whole answer. */
-  private billUnfinished(
+  private billPartial(
     request: CompletionRequest,
-    done: readonly Leg[],
+    done: readonly CascadeLeg[],
   ): void {
     if (done.some(leg => leg.tokens > 0))
-      void this.options.bills.record(this.billOf(request, done, false));
+      void this.options.billRecorder.record(
+        this.createBill(request, done, false),
+      );
   }
 
-  private billOf(
+  private createBill(
     request: CompletionRequest,
-    done: readonly Leg[],
+    done: readonly CascadeLeg[],
     whole: boolean,
   ): Bill {
     return {
@@ -233,22 +240,22 @@
     };
   }
 
-  private opened(
+  private createStartedCompletion(
     request: CompletionRequest,
-    leg: Leg,
-    parts: AsyncIterable<AnswerPart>,
-  ): OpenCompletion {
+    leg: CascadeLeg,
+    parts: AsyncIterable<CompletionEvent>,
+  ): StartedCompletion {
     const createdAt = Math.floor(this.options.clock.wall() / THOUSAND);
     return {
       version: leg.version,
-      session: this.sessionOf(request, leg),
+      sealedSession: this.sealSession(request, leg),
       createdAt,
-      parts,
+      events: parts,
     };
   }
 
-  private sessionOf(request: CompletionRequest, leg: Leg): string {
-    const {sessions, store, clock} = this.options;
+  private sealSession(request: CompletionRequest, leg: CascadeLeg): string {
+    const {sessionSealer: sessions, store, clock} = this.options;
     return sessions.seal(
       request.session ?? {
         id: randomUUID(),
@@ -262,15 +269,15 @@
 }
 
 async function* replay(
-  parts: readonly AnswerPart[],
-): AsyncGenerator<AnswerPart> {
+  parts: readonly CompletionEvent[],
+): AsyncGenerator<CompletionEvent> {
   yield* parts;
 }
 
-async function* chain(
-  first: AnswerPart,
-  rest: AsyncGenerator<AnswerPart>,
-): AsyncGenerator<AnswerPart> {
+async function* prepend(
+  first: CompletionEvent,
+  rest: AsyncGenerator<CompletionEvent>,
+): AsyncGenerator<CompletionEvent> {
   try {
     yield first;
     yield* rest;
--- a/packages/daemon/src/callers/completions/stream_chunks.ts
+++ b/packages/daemon/src/callers/completions/format_stream_chunks.ts
@@ -1,30 +1,30 @@
-import type {AnswerPart} from './answer_part.js';
-import type {OpenCompletion} from './open_completion.js';
-import {usageObject} from './usage_object.js';
+import type {CompletionEvent} from './completion_event.js';
+import type {StartedCompletion} from './started_completion.js';
+import {formatUsage} from './format_usage.js';
 
-const DONE = 'data: [DONE]\n\n';
+const END_OF_STREAM = 'data: [DONE]\n\n';
 
 /** Turns an answer into the data lines of an OpenAI stream. A failure is thrown, so no `[DONE]` follows it. */
-export async function* streamChunks(
+export async function* formatStreamChunks(
   requestId: string,
-  open: OpenCompletion,
+  open: StartedCompletion,
   includeUsage: boolean,
 ): AsyncGenerator<string> {
-  const head = headOf(requestId, open);
+  const head = createChunkPrefix(requestId, open);
   let role = '"role":"assistant",';
-  for await (const part of open.parts) {
+  for await (const part of open.events) {
     if (part.kind === 'token') {
       yield `${head}"choices":[{"index":0,"delta":{${role}"content":${JSON.stringify(part.text)}},"finish_reason":null}]}\n\n`;
       role = '';
       continue;
     }
-    yield lastLines(head, part, includeUsage);
+    yield formatFinalChunks(head, part, includeUsage);
     return;
   }
 }
 
 /** What every line begins with; made once an answer, since a line is written for each token. */
-function headOf(requestId: string, open: OpenCompletion): string {
+function createChunkPrefix(requestId: string, open: StartedCompletion): string {
   const common = JSON.stringify({
     id: requestId,
     object: 'chat.completion.chunk',
@@ -34,15 +34,15 @@
   return `data: ${common.slice(0, -1)},`;
 }
 
-function lastLines(
+function formatFinalChunks(
   head: string,
-  part: Extract<AnswerPart, {kind: 'final'}>,
+  part: Extract<CompletionEvent, {kind: 'final'}>,
   includeUsage: boolean,
 ): string {
   const reason = JSON.stringify(part.finishReason);
   const end = `${head}"choices":[{"index":0,"delta":{},"finish_reason":${reason}}]}\n\n`;
   const usage = includeUsage
-    ? `${head}"choices":[],"usage":${JSON.stringify(usageObject(part.usage))}}\n\n`
+    ? `${head}"choices":[],"usage":${JSON.stringify(formatUsage(part.usage))}}\n\n`
     : '';
-  return end + usage + DONE;
+  return end + usage + END_OF_STREAM;
 }
--- a/packages/daemon/src/callers/completions/usage_object.ts
+++ b/packages/daemon/src/callers/completions/format_usage.ts
@@ -1,7 +1,7 @@
 import type {Usage} from '@bayspool/decisions';
 
 /** A usage in the OpenAI form. */
-export function usageObject(usage: Usage): object {
+export function formatUsage(usage: Usage): object {
   return {
     prompt_tokens: usage.promptTokens,
     completion_tokens: usage.completionTokens,
--- a/packages/daemon/src/callers/completions/leg_problems.ts
+++ b/packages/daemon/src/callers/completions/leg_failures.ts
@@ -1,12 +1,12 @@
 import {Outcome, RequestFailure, RunnerFailure} from '@bayspool/decisions';
 import {Problem, ProblemKind} from '@bayspool/kernel';
-import type {Leg} from './leg.js';
+import type {CascadeLeg} from './cascade_leg.js';
 
-function broken(message: string): RunnerFailure {
+function createProtocolFailure(message: string): RunnerFailure {
   return new RunnerFailure({message, mayHaveRun: true});
 }
 
-function toFailure(error: unknown): RunnerFailure {
+function toRunnerFailure(error: unknown): RunnerFailure {
   if (error instanceof RunnerFailure) return error;
   return new RunnerFailure({
     message: String(error),
@@ -15,7 +15,7 @@
   });
 }
 
-function cancelled(leg: Leg): RequestFailure {
+function createCancelledFailure(leg: CascadeLeg): RequestFailure {
   const problem = new Problem({
     kind: ProblemKind.CANCELLED,
     what: 'the caller left',
@@ -27,7 +27,7 @@
   );
 }
 
-function overtaken(leg: Leg): Problem {
+function createVersionUnavailableProblem(leg: CascadeLeg): Problem {
   return new Problem({
     kind: ProblemKind.NO_RUNNER,
     what: `version ${leg.version.id} stopped taking work while the request waited`,
@@ -36,7 +36,10 @@
   });
 }
 
-function givenUp(failure: RunnerFailure, leg: Leg): RequestFailure {
+function createFinalFailure(
+  failure: RunnerFailure,
+  leg: CascadeLeg,
+): RequestFailure {
   const problem = new Problem({
     kind: ProblemKind.RUNNER_FAILED,
     what: `no runner gave a whole answer: ${failure.message}`,
@@ -52,10 +55,10 @@
 }
 
 /** What a leg fails with, and what its caller is told. */
-export const legProblems = {
-  broken,
-  toFailure,
-  cancelled,
-  overtaken,
-  givenUp,
+export const legFailures = {
+  createProtocolFailure: createProtocolFailure,
+  toRunnerFailure: toRunnerFailure,
+  createCancelledFailure: createCancelledFailure,
+  createVersionUnavailableProblem: createVersionUnavailableProblem,
+  createFinalFailure: createFinalFailure,
 };
--- a/packages/daemon/src/callers/completions/open_completion.ts
+++ b/packages/daemon/src/callers/completions/started_completion.ts
@@ -1,12 +1,12 @@
 import type {Version} from '@bayspool/decisions';
-import type {AnswerPart} from './answer_part.js';
+import type {CompletionEvent} from './completion_event.js';
 
 /** An answer that has begun. */
-export interface OpenCompletion {
+export interface StartedCompletion {
   readonly version: Version;
   /** The sealed session, to be sent with the next turn. */
-  readonly session: string;
+  readonly sealedSession: string;
   /** Seconds since the Unix epoch. */
   readonly createdAt: number;
-  readonly parts: AsyncIterable<AnswerPart>;
+  readonly events: AsyncIterable<CompletionEvent>;
 }
--- a/packages/daemon/src/callers/no_room_for_bills.ts
+++ b/packages/daemon/src/callers/create_bill_backlog_problem.ts
@@ -3,7 +3,7 @@
 const RETRY_AFTER_MS = 10_000;
 
 /** Said before any work when the log has been away for so long that no more bills can be kept. */
-export function noRoomForBills(): Problem {
+export function createBillBacklogProblem(): Problem {
   return new Problem({
     kind: ProblemKind.OVERLOADED,
     what: 'too many bills wait for the log, so nothing new is begun',
--- a/packages/daemon/src/callers/error_answer.ts
+++ b/packages/daemon/src/callers/create_error_response.ts
@@ -1,8 +1,8 @@
 import {Outcome} from '@bayspool/decisions';
-import type {CallerAnswer} from './caller_answer.js';
+import type {CallResponse} from './call_response.js';
 import {callerHeaders} from './caller_headers.js';
 import {describeError} from './describe_error.js';
-import {problemStatus} from './problem_status.js';
+import {httpStatusByProblemKind} from './http_status_by_problem_kind.js';
 
 const SECOND_MS = 1_000;
 
@@ -11,7 +11,10 @@
  * themselves are told not to, unless the request is known not to have run and
  * may be tried again.
  */
-export function errorAnswer(error: unknown, requestId: string): CallerAnswer {
+export function createErrorResponse(
+  error: unknown,
+  requestId: string,
+): CallResponse {
   const {problem, outcome, body} = describeError(error, requestId);
   const mayRetry =
     outcome === Outcome.NOT_RUN && problem.retryAfterMs !== undefined;
@@ -26,7 +29,7 @@
       Math.max(1, Math.ceil(problem.retryAfterMs! / SECOND_MS)),
     );
   return {
-    status: problemStatus[problem.kind],
+    status: httpStatusByProblemKind[problem.kind],
     headers,
     body: Buffer.from(JSON.stringify(body)),
   };
--- a/packages/daemon/src/callers/models_list.ts
+++ b/packages/daemon/src/callers/create_models_list.ts
@@ -4,11 +4,14 @@
   type Version,
 } from '@bayspool/decisions';
 
-const AUTO = 'auto';
-const OWNER = 'bayspool';
+const AUTO_MODEL = 'auto';
+const MODEL_OWNER = 'bayspool';
 
 /** What `GET /v1/models` shows a workspace: the versions that its tasks allow, their models, and `auto`. */
-export function modelsList(config: Configuration, workspace: string): object {
+export function createModelsList(
+  config: Configuration,
+  workspace: string,
+): object {
   const tasks = Object.values(config.workspaces[workspace]?.tasks ?? {});
   const versions = [...new Set(tasks.flatMap(task => task.versions))]
     .map(id => config.versions[id])
@@ -18,12 +21,17 @@
     );
   const models = new Set(versions.map(version => version.model));
   const ids = [
-    AUTO,
+    AUTO_MODEL,
     ...[...models].sort(),
     ...versions.map(version => version.id).sort(),
   ];
   return {
     object: 'list',
-    data: ids.map(id => ({id, object: 'model', created: 0, owned_by: OWNER})),
+    data: ids.map(id => ({
+      id,
+      object: 'model',
+      created: 0,
+      owned_by: MODEL_OWNER,
+    })),
   };
 }
--- a/packages/daemon/src/callers/describe_error.ts
+++ b/packages/daemon/src/callers/describe_error.ts
@@ -13,23 +13,26 @@
 }
 
 /** What is told of a failed request. */
-interface Description {
+interface ErrorDescription {
   readonly problem: Problem;
   readonly outcome: Outcome;
   readonly body: ErrorBody;
 }
 
-const TYPE = 'bayspool_error';
+const ERROR_TYPE = 'bayspool_error';
 
 /** Describes any failure in the shape that callers get. */
-export function describeError(error: unknown, requestId: string): Description {
+export function describeError(
+  error: unknown,
+  requestId: string,
+): ErrorDescription {
   const outcome = determineOutcome(error);
   const problem =
     error instanceof RequestFailure ? error.problem : toProblem(error);
   const body = {
     error: {
       message: problem.message,
-      type: TYPE,
+      type: ERROR_TYPE,
       code: problem.kind,
       outcome,
       request_id: requestId,
--- a/packages/daemon/src/callers/problem_status.ts
+++ b/packages/daemon/src/callers/http_status_by_problem_kind.ts
@@ -1,7 +1,7 @@
 import {ProblemKind} from '@bayspool/kernel';
 
 /** The HTTP status of each kind of problem at the callers' and operators' doors. */
-export const problemStatus: Readonly<Record<ProblemKind, number>> = {
+export const httpStatusByProblemKind: Readonly<Record<ProblemKind, number>> = {
   [ProblemKind.SETTINGS]: 500,
   [ProblemKind.BAD_REQUEST]: 400,
   [ProblemKind.TOO_LARGE]: 413,
--- a/packages/daemon/src/callers/parse_json_body.ts
+++ b/packages/daemon/src/callers/parse_json_body.ts
@@ -3,7 +3,7 @@
 
 /** Reads a JSON body and checks it; throws a problem that names the first field at fault. */
 export function parseJsonBody<T>(body: Buffer, schema: z.ZodType<T>): T {
-  const parsed = schema.safeParse(parse(body));
+  const parsed = schema.safeParse(parseJson(body));
   if (parsed.success) return parsed.data;
   const [issue] = parsed.error.issues;
   const field = issue.path.join('.') || 'the body';
@@ -14,7 +14,7 @@
   });
 }
 
-function parse(body: Buffer): unknown {
+function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
--- a/packages/daemon/src/callers/raw_call.ts
+++ b/packages/daemon/src/callers/raw_call.ts
@@ -1,7 +1,7 @@
-import type {CallerCall} from './caller_call.js';
+import type {AuthenticatedCall} from './authenticated_call.js';
 
 /** A caller's request as it came, before anything is known of it. Header names are in lower case. */
 export type RawCall = Pick<
-  CallerCall,
+  AuthenticatedCall,
   'id' | 'method' | 'path' | 'headers' | 'body' | 'signal' | 'trace'
 >;
--- a/packages/daemon/src/callers/send_answer.ts
+++ b/packages/daemon/src/callers/send_response.ts
@@ -1,5 +1,5 @@
 import type {ServerResponse} from 'node:http';
-import type {CallerAnswer} from './caller_answer.js';
+import type {CallResponse} from './call_response.js';
 import {describeError} from './describe_error.js';
 
 /**
@@ -7,13 +7,13 @@
  * ends with an error event and without `[DONE]`; any other body is cut. Gives
  * whether the whole answer was written.
  */
-export async function sendAnswer(
+export async function sendResponse(
   response: ServerResponse,
-  answer: CallerAnswer,
+  answer: CallResponse,
   requestId = '',
 ): Promise<boolean> {
   if (response.destroyed) {
-    await discard(answer);
+    await discardBody(answer);
     return false;
   }
   if (Buffer.isBuffer(answer.body)) {
@@ -28,19 +28,19 @@
   try {
     for await (const piece of answer.body) {
       if (response.destroyed) return false;
-      if (!response.write(piece)) await drained(response);
+      if (!response.write(piece)) await waitForDrain(response);
     }
     response.end();
     return !response.destroyed;
   } catch (error) {
-    endBroken(response, answer, error, requestId);
+    endAfterFailure(response, answer, error, requestId);
     return false;
   }
 }
 
-function endBroken(
+function endAfterFailure(
   response: ServerResponse,
-  answer: CallerAnswer,
+  answer: CallResponse,
   error: unknown,
   requestId: string,
 ): void {
@@ -57,12 +57,12 @@
 }
 
 /** Lets the producer of a body clean up when nobody reads it. */
-async function discard(answer: CallerAnswer): Promise<void> {
+async function discardBody(answer: CallResponse): Promise<void> {
   if (!Buffer.isBuffer(answer.body))
     await answer.body[Symbol.asyncIterator]().return?.();
 }
 
-function drained(response: ServerResponse): Promise<void> {
+function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise(resolve => {
     response.once('drain', resolve);
     response.once('close', resolve);
--- a/packages/daemon/src/callers/services/read_service_body.ts
+++ b/packages/daemon/src/callers/services/buffer_service_body.ts
@@ -4,7 +4,7 @@
  * Collects a body up to `most` bytes, so that a cut answer is noticed before any of
  * it is passed on. A longer one is passed on as it comes.
  */
-export async function readServiceBody(
+export async function bufferServiceBody(
   body: Readable,
   most: number,
 ): Promise<Buffer | AsyncIterable<Buffer>> {
@@ -17,10 +17,10 @@
     pieces.push(value as Buffer);
     bytes += (value as Buffer).length;
   }
-  return continueBody(pieces, iterator);
+  return resumeBody(pieces, iterator);
 }
 
-async function* continueBody(
+async function* resumeBody(
   pieces: readonly Buffer[],
   iterator: AsyncIterator<Buffer>,
 ): AsyncGenerator<Buffer> {
--- a/packages/daemon/src/callers/services/passed_headers.ts
+++ b/packages/daemon/src/callers/services/filter_forwarded_headers.ts
@@ -1,5 +1,5 @@
 /** Headers that belong to one connection, or to the door itself, and are not passed on. */
-const NOT_PASSED = new Set([
+const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -15,10 +15,10 @@
   'authorization',
   'idempotency-key',
 ]);
-const OWN_PREFIX = 'bayspool-';
+const ROUTER_HEADER_PREFIX = 'bayspool-';
 
 /** The headers of a request or answer that pass the router. */
-export function passedHeaders<T extends string | string[]>(
+export function filterForwardedHeaders<T extends string | string[]>(
   headers: Readonly<Record<string, T>>,
 ): Record<string, T> {
   const named = String(headers.connection ?? '')
@@ -29,8 +29,8 @@
       const key = name.toLowerCase();
       return (
         value !== undefined &&
-        !NOT_PASSED.has(key) &&
-        !key.startsWith(OWN_PREFIX) &&
+        !UNFORWARDED_HEADERS.has(key) &&
+        !key.startsWith(ROUTER_HEADER_PREFIX) &&
         !named.includes(key)
       );
     }),
--- a/packages/daemon/src/callers/services/route_of.ts
+++ b/packages/daemon/src/callers/services/find_service_route.ts
@@ -11,7 +11,7 @@
  * The configured route of a call: the one with the longest path that fits. A call
  * that fits none may be repeated only when its method is safe.
  */
-export function routeOf(
+export function findServiceRoute(
   config: Configuration,
   service: string,
   method: string,
@@ -27,7 +27,7 @@
   }
   const [pathname] = path.split('?');
   const fitting = definition.routes.filter(
-    route => route.method === method && covers(route.path, pathname),
+    route => route.method === method && isPathPrefix(route.path, pathname),
   );
   const [best] = fitting.sort((a, b) => b.path.length - a.path.length);
   return (
@@ -40,7 +40,7 @@
   );
 }
 
-function covers(prefix: string, path: string): boolean {
+function isPathPrefix(prefix: string, path: string): boolean {
   return (
     path === prefix ||
     path.startsWith(prefix.endsWith('/') ? prefix : `${prefix}/`)
--- a/packages/daemon/src/callers/services/service_caller.ts
+++ b/packages/daemon/src/callers/services/service_call_handler.ts
@@ -23,17 +23,17 @@
   type Tracing,
 } from '@bayspool/kernel';
 import type {BillRecorder} from '../../billing/bill_recorder.js';
-import {noRoomForBills} from '../no_room_for_bills.js';
+import {createBillBacklogProblem} from '../create_bill_backlog_problem.js';
 import type {ConfigurationStore} from '../../configuration/configuration_store.js';
-import type {Grant} from '../../runners/grant.js';
-import {GrantResult} from '../../runners/grant_result.js';
-import type {ServicePool} from '../../runners/service_pool.js';
-import type {CallerAnswer} from '../caller_answer.js';
-import type {CallerCall} from '../caller_call.js';
+import type {SlotReservation} from '../../runners/slot_reservation.js';
+import {AttemptResult} from '../../runners/attempt_result.js';
+import type {ServiceRunnerPool} from '../../runners/service_runner_pool.js';
+import type {CallResponse} from '../call_response.js';
+import type {AuthenticatedCall} from '../authenticated_call.js';
 import {callerHeaders} from '../caller_headers.js';
-import {passedHeaders} from './passed_headers.js';
-import {readServiceBody} from './read_service_body.js';
-import {routeOf} from './route_of.js';
+import {filterForwardedHeaders} from './filter_forwarded_headers.js';
+import {bufferServiceBody} from './buffer_service_body.js';
+import {findServiceRoute} from './find_service_route.js';
 
 interface Options {
   readonly clock: Clock;
@@ -41,50 +41,56 @@
   readonly logger: Logger;
   readonly tracing: Tracing;
   readonly store: ConfigurationStore;
-  readonly pool: ServicePool;
-  readonly bills: BillRecorder;
+  readonly pool: ServiceRunnerPool;
+  readonly billRecorder: BillRecorder;
   /** Attempts at a call that may be repeated. */
-  readonly attemptsMost: number;
+  readonly maxAttempts: number;
   /** An answer up to this size is collected before it is passed on, in bytes. */
-  readonly collectMost: number;
+  readonly maxBufferedBytes: number;
   /** Used where the caller names no deadline, in ms. */
-  readonly deadlineMs: number;
+  readonly defaultDeadlineMs: number;
 }
 
 /** What one call is about. */
 interface ServiceCall {
-  readonly call: CallerCall;
+  readonly call: AuthenticatedCall;
   readonly service: string;
   readonly route: Route;
   readonly request: ServiceRequest;
   readonly deadlineAt: number;
 }
 
-const PATH = /^\/services\/([a-z0-9][a-z0-9-]{0,62})(\/.*)?$/;
-const BACKOFF_FIRST_MS = 10;
-const BACKOFF_MOST_MS = 200;
+const SERVICE_PATH = /^\/services\/([a-z0-9][a-z0-9-]{0,62})(\/.*)?$/;
+const INITIAL_BACKOFF_MS = 10;
+const MAX_BACKOFF_MS = 200;
 
 /**
  * `ANY /services/<service>/<path>`. A call that may be repeated is tried again at
  * another runner; any other is sent once, and when it cannot be told whether it
  * arrived, the outcome is unknown.
  */
-export class ServiceCaller {
-  private readonly budget = new RetryBudget();
+export class ServiceCallHandler {
+  private readonly retryBudget = new RetryBudget();
 
   constructor(private readonly options: Options) {}
 
   /** Whether the call must not be sent twice. */
-  isOnce(call: CallerCall): boolean {
+  isAtMostOnce(call: AuthenticatedCall): boolean {
     const [service, path] = splitPath(call.path);
-    return routeOf(this.options.store.current, service, call.method, path).once;
+    return findServiceRoute(
+      this.options.store.current,
+      service,
+      call.method,
+      path,
+    ).once;
   }
 
-  async handle(call: CallerCall): Promise<CallerAnswer> {
-    const serviceCall = this.toServiceCall(call);
-    if (!this.options.bills.hasCapacity()) throw noRoomForBills();
-    const answer = await this.send(serviceCall);
-    await this.options.bills.record({
+  async handle(call: AuthenticatedCall): Promise<CallResponse> {
+    const serviceCall = this.createServiceCall(call);
+    if (!this.options.billRecorder.hasCapacity())
+      throw createBillBacklogProblem();
+    const answer = await this.sendWithRetries(serviceCall);
+    await this.options.billRecorder.record({
       type: 'bill',
       id: call.billId,
       workspace: call.workspace,
@@ -95,7 +101,7 @@
     return {
       status: answer.status,
       headers: {
-        ...passedHeaders(answer.headers),
+        ...filterForwardedHeaders(answer.headers),
         [callerHeaders.requestId]: call.id,
         [callerHeaders.outcome]: Outcome.RAN,
         [callerHeaders.shouldRetry]: 'false',
@@ -104,22 +110,24 @@
     };
   }
 
-  private toServiceCall(call: CallerCall): ServiceCall {
+  private createServiceCall(call: AuthenticatedCall): ServiceCall {
     const {store, clock, tracing} = this.options;
     const [service, path] = splitPath(call.path);
     const workspace = store.current.workspaces[call.workspace];
-    if (!workspace.services.includes(service)) throw notAllowed(service);
+    if (!workspace.services.includes(service))
+      throw createNotAllowedProblem(service);
     return {
       call,
       service,
-      route: routeOf(store.current, service, call.method, path),
-      deadlineAt: clock.now() + (call.deadlineMs ?? this.options.deadlineMs),
+      route: findServiceRoute(store.current, service, call.method, path),
+      deadlineAt:
+        clock.now() + (call.deadlineMs ?? this.options.defaultDeadlineMs),
       request: {
         requestId: call.billId,
         method: call.method,
         path,
         headers: {
-          ...passedHeaders(call.headers),
+          ...filterForwardedHeaders(call.headers),
           ...tracing.inject(call.trace),
         },
         body: call.body,
@@ -127,19 +135,19 @@
     };
   }
 
-  private async send(
+  private async sendWithRetries(
     serviceCall: ServiceCall,
-  ): Promise<ServiceResponse<CallerAnswer['body']>> {
+  ): Promise<ServiceResponse<CallResponse['body']>> {
     const {clock, random, logger} = this.options;
     const {call, route} = serviceCall;
     const backoff = new Backoff({
       random,
-      initialMs: BACKOFF_FIRST_MS,
-      maxMs: BACKOFF_MOST_MS,
+      initialMs: INITIAL_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
     const avoid = new Set<string>();
     let mayHaveRun = false;
-    this.budget.recordFirstAttempt();
+    this.retryBudget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
       const grant = await this.acquire(serviceCall, avoid, mayHaveRun);
       try {
@@ -152,17 +160,17 @@
         mayHaveRun ||= failure.mayHaveRun;
         logger.info('attempt failed', {
           requestId: call.id,
-          runner: grant.target.id,
+          runner: grant.backend.id,
           error: failure.message,
         });
         const repeatable = !route.once || !mayHaveRun;
         const inTime =
-          attempt < this.options.attemptsMost &&
+          attempt < this.options.maxAttempts &&
           clock.now() < serviceCall.deadlineAt &&
           !call.signal.aborted;
-        if (!repeatable || !inTime || !this.budget.trySpend())
-          throw givenUp(failure, mayHaveRun, route.once);
-        avoid.add(grant.target.id);
+        if (!repeatable || !inTime || !this.retryBudget.trySpend())
+          throw createFinalFailure(failure, mayHaveRun, route.once);
+        avoid.add(grant.backend.id);
       }
       await sleep(clock, backoff.nextDelayMs(), call.signal);
     }
@@ -172,7 +180,7 @@
     serviceCall: ServiceCall,
     avoid: ReadonlySet<string>,
     mayHaveRun: boolean,
-  ): Promise<Grant<ServiceRunner>> {
+  ): Promise<SlotReservation<ServiceRunner>> {
     const {store, pool} = this.options;
     const workspace = store.current.workspaces[serviceCall.call.workspace];
     const home = workspace.home;
@@ -188,10 +196,10 @@
           places: [
             ...new Set([resolveServingPlace(store.current, home), home]),
           ],
-          crossing: workspace.crossing,
+          allowsCrossing: workspace.crossing,
           prefixes: [],
-          avoid,
-          recheck: () => this.recheck(workspace, serviceCall.service),
+          avoidedIds: avoid,
+          revalidate: () => this.revalidate(workspace, serviceCall.service),
         },
         serviceCall.call.signal,
       );
@@ -202,35 +210,38 @@
     }
   }
 
-  private recheck(workspace: Workspace, service: string): Problem | undefined {
+  private revalidate(
+    workspace: Workspace,
+    service: string,
+  ): Problem | undefined {
     const allowed =
       this.options.store.current.workspaces[workspace.id]?.services.includes(
         service,
       );
-    return allowed ? undefined : notAllowed(service);
+    return allowed ? undefined : createNotAllowedProblem(service);
   }
 
   private async attempt(
     serviceCall: ServiceCall,
-    grant: Grant<ServiceRunner>,
-  ): Promise<ServiceResponse<CallerAnswer['body']>> {
-    const {clock, tracing, collectMost} = this.options;
+    grant: SlotReservation<ServiceRunner>,
+  ): Promise<ServiceResponse<CallResponse['body']>> {
+    const {clock, tracing, maxBufferedBytes: collectMost} = this.options;
     const {call, request, route, deadlineAt} = serviceCall;
     const span = tracing.start('attempt', call.trace, {
-      runner: grant.target.id,
+      runner: grant.backend.id,
     });
     const timeout = timeoutSignal(clock, deadlineAt - clock.now());
     const signal = route.once
       ? timeout.signal
       : AbortSignal.any([call.signal, timeout.signal]);
-    let result: GrantResult = GrantResult.FAILED;
+    let result: AttemptResult = AttemptResult.FAILED;
     try {
-      const answer: ServiceResponse<Readable> = await grant.target.call(
+      const answer: ServiceResponse<Readable> = await grant.backend.call(
         request,
         signal,
       );
-      const body = await readServiceBody(answer.body, collectMost);
-      result = GrantResult.OK;
+      const body = await bufferServiceBody(answer.body, collectMost);
+      result = AttemptResult.OK;
       return {status: answer.status, headers: answer.headers, body};
     } finally {
       timeout.cancel();
@@ -241,7 +252,7 @@
 }
 
 function splitPath(path: string): [string, string] {
-  const match = PATH.exec(path);
+  const match = SERVICE_PATH.exec(path);
   if (!match) {
     throw new Problem({
       kind: ProblemKind.NOT_FOUND,
@@ -252,7 +263,7 @@
   return [match[1], match[2] ?? '/'];
 }
 
-function notAllowed(service: string): Problem {
+function createNotAllowedProblem(service: string): Problem {
   return new Problem({
     kind: ProblemKind.NOT_ALLOWED,
     what: `this workspace may not use service ${service}`,
@@ -260,7 +271,7 @@
   });
 }
 
-function givenUp(
+function createFinalFailure(
   failure: RunnerFailure,
   mayHaveRun: boolean,
   once: boolean,
--- a/packages/daemon/src/callers/stored_answer.ts
+++ b/packages/daemon/src/callers/stored_response.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-const storedAnswer = z.strictObject({
+const storedResponse = z.strictObject({
   status: z.int(),
   headers: z.record(z.string(), z.union([z.string(), z.array(z.string())])),
   /** The body in base64. */
@@ -8,7 +8,7 @@
 });
 
 /** An answer that is kept for its key, and passed between hosts. */
-type StoredAnswer = z.output<typeof storedAnswer>;
-const StoredAnswer = storedAnswer;
+type StoredResponse = z.output<typeof storedResponse>;
+const StoredResponse = storedResponse;
 
-export {StoredAnswer};
+export {StoredResponse};
--- a/packages/daemon/src/callers/tickets/claim_keeper.ts
+++ b/packages/daemon/src/callers/tickets/claim_log.ts
@@ -25,40 +25,46 @@
   /** The place in whose stream keys are claimed. */
   readonly place: string;
   readonly log: Log;
-  readonly seal: Sealer;
+  readonly sealer: Sealer;
   /** How long a key stays claimed, in ms; shorter than the log's retention. */
-  readonly windowMs: number;
+  readonly claimTtlMs: number;
   /** How long one read of the log waits, in ms. */
-  readonly pollMs: number;
+  readonly longPollMs: number;
   /** How long a claim may take until it is read back, in ms. */
-  readonly timeoutMs: number;
+  readonly claimTimeoutMs: number;
 }
 
-const BACKOFF_FIRST_MS = 100;
-const BACKOFF_MOST_MS = 3_000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 3_000;
 
 /** Claims callers' own keys in the log stream of a place: the first claim in the log's order wins. */
-export class ClaimKeeper implements Service {
+export class ClaimLog implements Service {
   readonly name = 'claim keeper';
   private readonly stopping = new AbortController();
   private readonly table: ClaimTable;
   private readonly stream: string;
   private readonly waiters = new Set<() => void>();
-  private position = 0;
-  private sawEnd = false;
+  private nextOffset = 0;
+  private hasReadToEnd = false;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    const table = new ClaimTable(options.windowMs);
+    const table = new ClaimTable(options.claimTtlMs);
     this.table = table;
     this.stream = `claims.${options.place}`;
   }
 
   /** Claims a key and gives the claim that won, once it was read back. Nothing was dispatched when this fails. */
   async claim(key: string): Promise<ClaimRecord> {
-    const {clock, log, seal, identity, timeoutMs} = this.options;
+    const {
+      clock,
+      log,
+      sealer: seal,
+      identity,
+      claimTimeoutMs: timeoutMs,
+    } = this.options;
     const deadline = clock.now() + timeoutMs;
-    await this.waitUntil(() => this.sawEnd, deadline);
+    await this.waitUntil(() => this.hasReadToEnd, deadline);
     const known = this.table.findWinner(key);
     if (known) return known;
     const record: ClaimRecord = {
@@ -73,7 +79,7 @@
     try {
       await log.append(this.stream, [seal.seal(record)]);
     } catch (error) {
-      if (!this.table.findWinner(key)) throw logProblem(error);
+      if (!this.table.findWinner(key)) throw createClaimFailedProblem(error);
     }
     await this.waitUntil(
       () => this.table.findWinner(key) !== undefined,
@@ -88,12 +94,12 @@
   }
 
   /** Whether the key was claimed, as far as this host has read. */
-  knows(key: string): boolean {
+  hasClaim(key: string): boolean {
     return this.table.findWinner(key) !== undefined;
   }
 
   async start(): Promise<void> {
-    this.loop = this.run();
+    this.loop = this.followStream();
   }
 
   async stop(): Promise<void> {
@@ -101,12 +107,12 @@
     await this.loop;
   }
 
-  private async run(): Promise<void> {
+  private async followStream(): Promise<void> {
     const {clock, random, logger} = this.options;
     const backoff = new Backoff({
       random,
-      initialMs: BACKOFF_FIRST_MS,
-      maxMs: BACKOFF_MOST_MS,
+      initialMs: INITIAL_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
     while (!this.stopping.signal.aborted) {
       try {
@@ -124,22 +130,22 @@
   }
 
   private async readPage(): Promise<void> {
-    const {log, pollMs} = this.options;
-    const waitMs = this.sawEnd ? pollMs : 0;
-    const page = await log.read(this.stream, this.position, {
+    const {log, longPollMs: pollMs} = this.options;
+    const waitMs = this.hasReadToEnd ? pollMs : 0;
+    const page = await log.read(this.stream, this.nextOffset, {
       waitMs,
       signal: this.stopping.signal,
     });
     for (const record of page.records) {
       const parsed = ClaimRecord.safeParse(
-        this.options.seal.open(record.value).orDefault(undefined),
+        this.options.sealer.open(record.value).orDefault(undefined),
       );
       if (parsed.success) this.table.fold(parsed.data, record.at);
     }
     const last = page.records.at(-1);
-    if (last) this.position = last.offset + 1;
-    else this.position = Math.max(this.position, page.first);
-    if (this.position >= page.next) this.sawEnd = true;
+    if (last) this.nextOffset = last.offset + 1;
+    else this.nextOffset = Math.max(this.nextOffset, page.first);
+    if (this.nextOffset >= page.next) this.hasReadToEnd = true;
     for (const wake of [...this.waiters]) wake();
   }
 
@@ -159,7 +165,7 @@
         deadline - this.options.clock.now(),
         () => {
           finish();
-          reject(logProblem());
+          reject(createClaimFailedProblem());
         },
       );
       this.waiters.add(check);
@@ -167,7 +173,7 @@
   }
 }
 
-function logProblem(cause?: unknown): Problem {
+function createClaimFailedProblem(cause?: unknown): Problem {
   return new Problem({
     kind: ProblemKind.LOG_UNAVAILABLE,
     what: 'the key could not be claimed in the log, so the request was not dispatched',
--- a/packages/daemon/src/callers/tickets/call_message.ts
+++ b/packages/daemon/src/callers/tickets/forwarded_call.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-const callMessage = z.strictObject({
+const forwardedCall = z.strictObject({
   id: z.string().max(64),
   billId: z.string().max(128),
   workspace: z.string(),
@@ -13,7 +13,7 @@
 });
 
 /** A caller's request on its way to the host that must answer it. */
-type CallMessage = z.output<typeof callMessage>;
-const CallMessage = callMessage;
+type ForwardedCall = z.output<typeof forwardedCall>;
+const ForwardedCall = forwardedCall;
 
-export {CallMessage};
+export {ForwardedCall};
--- a/packages/daemon/src/callers/tickets/key_claims.ts
+++ b/packages/daemon/src/callers/tickets/key_claimer.ts
@@ -1,33 +1,33 @@
 import type {ClaimRecord, Membership} from '@bayspool/decisions';
 import type {HostIdentity} from '../../host/host_identity.js';
 import type {PeerClient} from '../../peers/peer_client.js';
-import type {AnswerHome} from './answer_home.js';
-import {answerMethods} from './answer_methods.js';
-import type {ClaimKeeper} from './claim_keeper.js';
-import {keyProblems} from './key_problems.js';
+import type {KeyedCallRunner} from './keyed_call_runner.js';
+import {keyedCallMethods} from './keyed_call_methods.js';
+import type {ClaimLog} from './claim_log.js';
+import {keyFailures} from './key_failures.js';
 import type {VacantPlaceClaims} from './vacant_place_claims.js';
 
 interface Options {
   readonly identity: HostIdentity;
   readonly membership: Membership;
   readonly client: PeerClient;
-  readonly home: AnswerHome;
-  readonly claims: ClaimKeeper;
-  readonly vacantClaims: VacantPlaceClaims;
+  readonly callRunner: KeyedCallRunner;
+  readonly claimLog: ClaimLog;
+  readonly vacantPlaceClaims: VacantPlaceClaims;
 }
 
 /** Who may run the call with a caller's own key, and whether a key was used where that cannot be told. */
-export class KeyClaims {
+export class KeyClaimer {
   constructor(private readonly options: Options) {}
 
   /** The claim that won a key of the own place; fails as not run only if no host can have run it. */
   async claim(key: string): Promise<ClaimRecord> {
     try {
-      return await this.options.claims.claim(key);
+      return await this.options.claimLog.claim(key);
     } catch (error) {
-      throw (await this.isUnused(key))
+      throw (await this.isUnusedInPlace(key))
         ? error
-        : keyProblems.earlierUseUnknown(error);
+        : keyFailures.createEarlierUseUnknownFailure(error);
     }
   }
 
@@ -38,17 +38,23 @@
    */
   async claimVacant(place: string, key: string): Promise<ClaimRecord> {
     try {
-      return await this.options.vacantClaims.claim(place, key);
+      return await this.options.vacantPlaceClaims.claim(place, key);
     } catch (error) {
-      throw keyProblems.earlierUseUnknown(error);
+      throw keyFailures.createEarlierUseUnknownFailure(error);
     }
   }
 
   /** Whether this host knows of a use of the key. */
-  knows(key: string): boolean {
-    const {claims, vacantClaims, home} = this.options;
+  hasSeen(key: string): boolean {
+    const {
+      claimLog: claims,
+      vacantPlaceClaims: vacantClaims,
+      callRunner: home,
+    } = this.options;
     return (
-      claims.knows(key) || vacantClaims.knows(key) || home.memory.hasKey(key)
+      claims.hasClaim(key) ||
+      vacantClaims.hasClaim(key) ||
+      home.cache.hasKey(key)
     );
   }
 
@@ -56,16 +62,16 @@
    * Whether no host of the place can have run a call with this key. A host dispatches
    * only after it has read its claim back, so hosts that all answer have all been asked.
    */
-  private async isUnused(key: string): Promise<boolean> {
+  private async isUnusedInPlace(key: string): Promise<boolean> {
     const {membership, client, identity} = this.options;
-    if (this.knows(key)) return false;
+    if (this.hasSeen(key)) return false;
     const others = membership
       .listKnown()
       .filter(entry => entry.id !== identity.id);
     const replies = await Promise.all(
       others.map(entry =>
         client
-          .call(entry.address, answerMethods.unused, {key})
+          .call(entry.address, keyedCallMethods.unused, {key})
           .catch(() => false),
       ),
     );
--- a/packages/daemon/src/callers/tickets/key_problems.ts
+++ b/packages/daemon/src/callers/tickets/key_failures.ts
@@ -2,14 +2,14 @@
 import {Problem, ProblemKind} from '@bayspool/kernel';
 
 /** What callers are told when the home of a key cannot answer. */
-export const keyProblems = {
-  expired,
-  placeUnreachable,
-  earlierUseUnknown,
-  homeGone,
+export const keyFailures = {
+  createExpiredTicketProblem: createExpiredTicketProblem,
+  createPlaceUnreachableFailure: createPlaceUnreachableFailure,
+  createEarlierUseUnknownFailure: createEarlierUseUnknownFailure,
+  createHomeUnreachableFailure: createHomeUnreachableFailure,
 } as const;
 
-function expired(): Problem {
+function createExpiredTicketProblem(): Problem {
   return new Problem({
     kind: ProblemKind.BAD_REQUEST,
     what: 'the ticket has expired',
@@ -18,7 +18,7 @@
   });
 }
 
-function placeUnreachable(place: string): RequestFailure {
+function createPlaceUnreachableFailure(place: string): RequestFailure {
   const problem = new Problem({
     kind: ProblemKind.PEER_UNREACHABLE,
     what: `the key belongs to place ${place}, which is out of reach; this use was not dispatched, but an earlier one may have run`,
@@ -28,7 +28,7 @@
   return new RequestFailure(problem, Outcome.UNKNOWN);
 }
 
-function earlierUseUnknown(cause: unknown): RequestFailure {
+function createEarlierUseUnknownFailure(cause: unknown): RequestFailure {
   const problem = new Problem({
     kind: ProblemKind.LOG_UNAVAILABLE,
     what: 'the key could not be claimed in the log; this use was not dispatched, but an earlier one may have run',
@@ -39,7 +39,7 @@
   return new RequestFailure(problem, Outcome.UNKNOWN);
 }
 
-function homeGone(cause: unknown): RequestFailure {
+function createHomeUnreachableFailure(cause: unknown): RequestFailure {
   const problem = new Problem({
     kind: ProblemKind.OUTCOME_UNKNOWN,
     what: 'the host that answers this key cannot be reached',
--- a/packages/daemon/src/callers/tickets/answer_methods.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_methods.ts
@@ -1,5 +1,5 @@
 /** Peer methods of answers that belong to a key. */
-export const answerMethods = {
+export const keyedCallMethods = {
   /** Runs a keyed call at its home, or gives the answer that it remembers. */
   run: 'answers.run',
   /** Claims a caller's own key and runs the call, in the key's place. */
--- a/packages/daemon/src/callers/tickets/keyed_answers.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_router.ts
@@ -19,16 +19,16 @@
 import {PeerPool} from '../../peers/peer_pool.js';
 import type {PeerMethodRegistry} from '../../peers/peer_method_registry.js';
 import type {CallDispatcher} from '../call_dispatcher.js';
-import type {CallerCall} from '../caller_call.js';
-import {errorAnswer} from '../error_answer.js';
-import {storeAnswer} from '../store_answer.js';
-import {StoredAnswer} from '../stored_answer.js';
-import type {AnswerHome} from './answer_home.js';
-import {answerMethods} from './answer_methods.js';
-import {CallMessage} from './call_message.js';
-import type {KeyClaims} from './key_claims.js';
-import {keyProblems} from './key_problems.js';
-import type {Successors} from './successors.js';
+import type {AuthenticatedCall} from '../authenticated_call.js';
+import {createErrorResponse} from '../create_error_response.js';
+import {bufferResponse} from '../buffer_response.js';
+import {StoredResponse} from '../stored_response.js';
+import type {KeyedCallRunner} from './keyed_call_runner.js';
+import {keyedCallMethods} from './keyed_call_methods.js';
+import {ForwardedCall} from './forwarded_call.js';
+import type {KeyClaimer} from './key_claimer.js';
+import {keyFailures} from './key_failures.js';
+import type {SuccessorRegistry} from './successor_registry.js';
 
 interface Options {
   readonly clock: Clock;
@@ -39,25 +39,25 @@
   readonly membership: Membership;
   readonly client: PeerClient;
   readonly methods: PeerMethodRegistry;
-  readonly seal: TicketSealer;
-  readonly home: AnswerHome;
-  readonly claims: KeyClaims;
-  readonly successors: Successors;
+  readonly ticketSealer: TicketSealer;
+  readonly callRunner: KeyedCallRunner;
+  readonly keyClaimer: KeyClaimer;
+  readonly successors: SuccessorRegistry;
   readonly dispatcher: CallDispatcher;
   /** How long a ticket may be used, in ms. */
-  readonly ticketLifeMs: number;
+  readonly ticketTtlMs: number;
   /** How long a forwarded call may take where the caller names no deadline, in ms. */
-  readonly forwardMs: number;
+  readonly defaultForwardTimeoutMs: number;
 }
 
 /** A process that may answer a key. */
-interface Home {
+interface HomeProcess {
   readonly place: string;
   readonly boot: string;
   readonly address: string;
 }
 
-const FORWARD_MARGIN_MS = 2_000;
+const FORWARD_TIMEOUT_MARGIN_MS = 2_000;
 
 /**
  * Calls that carry a key. Each key has one home process, and only that process
@@ -65,16 +65,21 @@
  * not be repeated is claimed in the log; any other key goes to a host of the place
  * by hash. When the home is gone, the outcome is unknown and there is no second run.
  */
-export class KeyedAnswers implements Service {
+export class KeyedCallRouter implements Service {
   readonly name = 'keyed answers';
 
   constructor(private readonly options: Options) {
-    this.addMethods();
+    this.registerMethods();
   }
 
   /** Gives a ticket whose home is this process. */
-  mint(workspace: string): {ticket: string; expiresInMs: number} {
-    const {clock, identity, seal, ticketLifeMs} = this.options;
+  issueTicket(workspace: string): {ticket: string; expiresInMs: number} {
+    const {
+      clock,
+      identity,
+      ticketSealer: seal,
+      ticketTtlMs: ticketLifeMs,
+    } = this.options;
     const ticket: Ticket = {
       id: randomUUID(),
       workspace,
@@ -88,55 +93,57 @@
   }
 
   /** Answers a call that carries `key`. */
-  async answer(key: string, call: CallerCall): Promise<StoredAnswer> {
-    if (this.options.seal.isTicket(key)) return this.answerTicket(key, call);
+  async handle(key: string, call: AuthenticatedCall): Promise<StoredResponse> {
+    if (this.options.ticketSealer.isTicket(key))
+      return this.handleTicketCall(key, call);
     const hashed = createHash('sha256')
       .update(`${call.workspace}\n${key}`)
       .digest('hex');
     const keyed = {...call, billId: hashed};
-    if (this.options.dispatcher.isOnce(call))
-      return this.answerClaimed(hashed, keyed);
-    return this.answerRepeatable(hashed, keyed);
+    if (this.options.dispatcher.isAtMostOnce(call))
+      return this.handleClaimedCall(hashed, keyed);
+    return this.handleRetryableCall(hashed, keyed);
   }
 
   async start(): Promise<void> {}
 
   /** Hands the keys of this process to a companion, so that answers given here stay known. */
   async stop(): Promise<void> {
-    await this.options.successors.handOver(
-      await this.options.home.memory.listUsedKeys(),
+    await this.options.successors.handOff(
+      await this.options.callRunner.cache.listUsedKeys(),
     );
   }
 
-  private async answerTicket(
+  private async handleTicketCall(
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
-    const {seal, clock} = this.options;
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
+    const {ticketSealer: seal, clock} = this.options;
     const ticket = seal.open(key, call.workspace).caseOf({
       Left: problem => {
         throw problem;
       },
       Right: opened => opened,
     });
-    if (ticket.expiresAt < clock.wall()) throw keyProblems.expired();
-    return this.answerAt(ticket, ticket.id, {...call, billId: ticket.id});
+    if (ticket.expiresAt < clock.wall())
+      throw keyFailures.createExpiredTicketProblem();
+    return this.runAtHome(ticket, ticket.id, {...call, billId: ticket.id});
   }
 
   /** The claim is made by a host of the key's place, which never changes. */
-  private async answerClaimed(
+  private async handleClaimedCall(
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
     const {identity, store, membership} = this.options;
     const [place] = selectByRendezvousHash(
       Object.keys(store.current.places),
       key,
       1,
     );
-    if (place === identity.place) return this.answerOwn(key, call);
+    if (place === identity.place) return this.claimAndRun(key, call);
     if (!(place in membership.computePlaceAges()))
-      return this.answerVacant(place, key, call);
+      return this.claimVacantAndRun(place, key, call);
     const hosts =
       membership.listDigests().find(digest => digest.place === place)?.hosts ??
       [];
@@ -145,74 +152,75 @@
       key,
       1,
     );
-    if (!target) throw keyProblems.placeUnreachable(place);
-    return this.forward(target, answerMethods.claim, key, call);
+    if (!target) throw keyFailures.createPlaceUnreachableFailure(place);
+    return this.forward(target, keyedCallMethods.claim, key, call);
   }
 
-  private async answerOwn(
+  private async claimAndRun(
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
-    return this.answerAt(await this.options.claims.claim(key), key, call);
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
+    return this.runAtHome(await this.options.keyClaimer.claim(key), key, call);
   }
 
-  private async answerVacant(
+  private async claimVacantAndRun(
     place: string,
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
-    const {claims} = this.options;
-    return this.answerAt(await claims.claimVacant(place, key), key, call);
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
+    const {keyClaimer: claims} = this.options;
+    return this.runAtHome(await claims.claimVacant(place, key), key, call);
   }
 
-  private async answerRepeatable(
+  private async handleRetryableCall(
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
-    const {identity, membership, home} = this.options;
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
+    const {identity, membership, callRunner: home} = this.options;
     const hosts = [
       identity.id,
       ...membership.listAvailablePeers().map(entry => entry.id),
     ];
     const [owner] = selectByRendezvousHash(hosts, key, 1);
     const entry = owner === identity.id ? undefined : membership.get(owner);
-    if (!entry) return home.answer(key, call);
+    if (!entry) return home.runOnce(key, call);
     try {
-      return await this.forward(entry.address, answerMethods.run, key, call);
+      return await this.forward(entry.address, keyedCallMethods.run, key, call);
     } catch (error) {
       if (error instanceof Problem) throw error;
       this.options.logger.info('home of a key not reached, answered here', {
         requestId: call.id,
         host: owner,
       });
-      return home.answer(key, call);
+      return home.runOnce(key, call);
     }
   }
 
-  private async answerAt(
-    target: Home,
+  private async runAtHome(
+    target: HomeProcess,
     key: string,
-    call: CallerCall,
-  ): Promise<StoredAnswer> {
-    const {identity, home, successors} = this.options;
+    call: AuthenticatedCall,
+  ): Promise<StoredResponse> {
+    const {identity, callRunner: home, successors} = this.options;
     if (target.boot === identity.boot || successors.hasAdopted(target.boot))
-      return home.answer(key, call);
-    const successor = successors.known(target.boot);
-    if (successor) return this.forward(successor, answerMethods.run, key, call);
+      return home.runOnce(key, call);
+    const successor = successors.getKnownAddress(target.boot);
+    if (successor)
+      return this.forward(successor, keyedCallMethods.run, key, call);
     try {
       return await this.forward(
         target.address,
-        answerMethods.run,
+        keyedCallMethods.run,
         key,
         call,
         target.boot,
       );
     } catch (error) {
-      const found = await successors.find(target.boot, target.place);
+      const found = await successors.findAddress(target.boot, target.place);
       if (!found) throw error;
       return found === identity.peerAddress
-        ? home.answer(key, call)
-        : this.forward(found, answerMethods.run, key, call);
+        ? home.runOnce(key, call)
+        : this.forward(found, keyedCallMethods.run, key, call);
     }
   }
 
@@ -220,11 +228,11 @@
     address: string,
     method: string,
     key: string,
-    call: CallerCall,
+    call: AuthenticatedCall,
     boot?: string,
-  ): Promise<StoredAnswer> {
-    const {client, tracing, forwardMs} = this.options;
-    const message: CallMessage = {
+  ): Promise<StoredResponse> {
+    const {client, tracing, defaultForwardTimeoutMs: forwardMs} = this.options;
+    const message: ForwardedCall = {
       id: call.id,
       billId: call.billId,
       workspace: call.workspace,
@@ -234,8 +242,10 @@
       body: call.body.toString('base64'),
       deadlineMs: call.deadlineMs,
     };
-    const timeoutMs = (call.deadlineMs ?? forwardMs) + FORWARD_MARGIN_MS;
-    const pool = method === answerMethods.claim ? PeerPool.CLAIM : PeerPool.RUN;
+    const timeoutMs =
+      (call.deadlineMs ?? forwardMs) + FORWARD_TIMEOUT_MARGIN_MS;
+    const pool =
+      method === keyedCallMethods.claim ? PeerPool.CLAIM : PeerPool.RUN;
     return tracing.run('peer call', call.trace, async inner => {
       try {
         const reply = await client.call(
@@ -244,21 +254,21 @@
           {key, boot, call: message},
           {timeoutMs, headers: tracing.inject(inner), pool},
         );
-        return StoredAnswer.parse(reply);
+        return StoredResponse.parse(reply);
       } catch (error) {
-        throw keyProblems.homeGone(error);
+        throw keyFailures.createHomeUnreachableFailure(error);
       }
     });
   }
 
-  private addMethods(): void {
-    const {methods, home, identity, successors} = this.options;
+  private registerMethods(): void {
+    const {methods, callRunner: home, identity, successors} = this.options;
     const params = z.strictObject({
       key: z.string(),
       boot: z.string().optional(),
-      call: CallMessage,
+      call: ForwardedCall,
     });
-    methods.register(answerMethods.run, params, ({key, boot, call}) => {
+    methods.register(keyedCallMethods.run, params, ({key, boot, call}) => {
       if (
         boot !== undefined &&
         boot !== identity.boot &&
@@ -266,22 +276,22 @@
       )
         throw new Error('the process that was asked for is gone');
       return home
-        .answer(key, this.toCall(call))
-        .catch(error => storeAnswer(errorAnswer(error, call.id)));
+        .runOnce(key, this.createCall(call))
+        .catch(error => bufferResponse(createErrorResponse(error, call.id)));
     });
     methods.register(
-      answerMethods.unused,
+      keyedCallMethods.unused,
       z.strictObject({key: z.string()}),
-      ({key: asked}) => !this.options.claims.knows(asked),
+      ({key: asked}) => !this.options.keyClaimer.hasSeen(asked),
     );
-    methods.register(answerMethods.claim, params, ({key, call}) =>
-      this.answerOwn(key, this.toCall(call)).catch(error =>
-        storeAnswer(errorAnswer(error, call.id)),
+    methods.register(keyedCallMethods.claim, params, ({key, call}) =>
+      this.claimAndRun(key, this.createCall(call)).catch(error =>
+        bufferResponse(createErrorResponse(error, call.id)),
       ),
     );
   }
 
-  private toCall(message: CallMessage): CallerCall {
+  private createCall(message: ForwardedCall): AuthenticatedCall {
     return {
       ...message,
       body: Buffer.from(message.body, 'base64'),
--- a/packages/daemon/src/callers/tickets/answer_home.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_runner.ts
@@ -2,61 +2,61 @@
 import {IdempotencyCache, Outcome, RequestFailure} from '@bayspool/decisions';
 import {Problem, ProblemKind, type Clock} from '@bayspool/kernel';
 import type {CallDispatcher} from '../call_dispatcher.js';
-import type {CallerCall} from '../caller_call.js';
+import type {AuthenticatedCall} from '../authenticated_call.js';
 import {callerHeaders} from '../caller_headers.js';
-import {errorAnswer} from '../error_answer.js';
-import {storeAnswer} from '../store_answer.js';
-import type {StoredAnswer} from '../stored_answer.js';
+import {createErrorResponse} from '../create_error_response.js';
+import {bufferResponse} from '../buffer_response.js';
+import type {StoredResponse} from '../stored_response.js';
 
 interface Options {
   readonly clock: Clock;
   readonly dispatcher: CallDispatcher;
   /** How long an answer is kept, in ms. */
-  readonly keepMs: number;
+  readonly retentionMs: number;
   /** Bytes that kept answers may hold together. */
-  readonly bytesMost: number;
+  readonly maxCacheBytes: number;
 }
 
 /** Runs each keyed call once at this process and remembers what came of it. */
-export class AnswerHome {
-  readonly memory: IdempotencyCache<StoredAnswer>;
+export class KeyedCallRunner {
+  readonly cache: IdempotencyCache<StoredResponse>;
 
   constructor(private readonly options: Options) {
-    const {clock, keepMs, bytesMost} = options;
-    this.memory = new IdempotencyCache({
+    const {clock, retentionMs: keepMs, maxCacheBytes: bytesMost} = options;
+    this.cache = new IdempotencyCache({
       clock,
       retentionMs: keepMs,
       maxBytes: bytesMost,
-      measureBytes: answer => answer.body.length,
+      measureBytes: response => response.body.length,
     });
   }
 
-  async answer(key: string, call: CallerCall): Promise<StoredAnswer> {
-    const started = this.memory.runOnce(key, fingerprintOf(call), () =>
-      this.run(call),
+  async runOnce(key: string, call: AuthenticatedCall): Promise<StoredResponse> {
+    const started = this.cache.runOnce(key, fingerprintCall(call), () =>
+      this.dispatch(call),
     );
     const answer = await started.caseOf({
       Left: refusal => {
-        throw refusalFailure(refusal);
+        throw createRefusalFailure(refusal);
       },
       Right: promise => promise,
     });
     if (answer.headers[callerHeaders.outcome] === Outcome.NOT_RUN)
-      this.memory.release(key);
+      this.cache.release(key);
     return answer;
   }
 
-  private async run(call: CallerCall): Promise<StoredAnswer> {
+  private async dispatch(call: AuthenticatedCall): Promise<StoredResponse> {
     try {
-      return await storeAnswer(await this.options.dispatcher.dispatch(call));
+      return await bufferResponse(await this.options.dispatcher.dispatch(call));
     } catch (error) {
-      return storeAnswer(errorAnswer(error, call.id));
+      return bufferResponse(createErrorResponse(error, call.id));
     }
   }
 }
 
 /** Two calls are the same request when method, path, task and body are. */
-function fingerprintOf(call: CallerCall): string {
+function fingerprintCall(call: AuthenticatedCall): string {
   const head = [
     call.workspace,
     call.method,
@@ -70,7 +70,7 @@
     .digest('hex');
 }
 
-function refusalFailure(
+function createRefusalFailure(
   refusal: 'other request' | 'forgotten' | 'full',
 ): RequestFailure | Problem {
   if (refusal === 'other request') {
--- a/packages/daemon/src/callers/tickets/vacant_place_claims.ts
+++ b/packages/daemon/src/callers/tickets/vacant_place_claims.ts
@@ -1,10 +1,10 @@
 import type {ClaimRecord} from '@bayspool/decisions';
 import type {Service} from '@bayspool/kernel';
-import type {ClaimKeeper} from './claim_keeper.js';
+import type {ClaimLog} from './claim_log.js';
 
 interface Options {
   /** Makes a keeper of the claims of a place. */
-  readonly createKeeper: (place: string) => ClaimKeeper;
+  readonly createClaimLog: (place: string) => ClaimLog;
 }
 
 /**
@@ -13,18 +13,18 @@
  */
 export class VacantPlaceClaims implements Service {
   readonly name = 'claims of vacant places';
-  private readonly keepers = new Map<string, ClaimKeeper>();
+  private readonly logByPlace = new Map<string, ClaimLog>();
 
   constructor(private readonly options: Options) {}
 
   /** Claims a key in the stream of a place. */
   async claim(place: string, key: string): Promise<ClaimRecord> {
-    return (await this.keeperOf(place)).claim(key);
+    return (await this.getOrCreateLog(place)).claim(key);
   }
 
   /** Whether the key was claimed, as far as this host has read. */
-  knows(key: string): boolean {
-    return [...this.keepers.values()].some(keeper => keeper.knows(key));
+  hasClaim(key: string): boolean {
+    return [...this.logByPlace.values()].some(keeper => keeper.hasClaim(key));
   }
 
   /** Nothing to do: a place's stream is read from its first claim on. */
@@ -32,14 +32,16 @@
 
   /** Stops reading the streams of all places. */
   async stop(): Promise<void> {
-    await Promise.all([...this.keepers.values()].map(keeper => keeper.stop()));
+    await Promise.all(
+      [...this.logByPlace.values()].map(keeper => keeper.stop()),
+    );
   }
 
-  private async keeperOf(place: string): Promise<ClaimKeeper> {
-    const known = this.keepers.get(place);
+  private async getOrCreateLog(place: string): Promise<ClaimLog> {
+    const known = this.logByPlace.get(place);
     if (known) return known;
-    const keeper = this.options.createKeeper(place);
-    this.keepers.set(place, keeper);
+    const keeper = this.options.createClaimLog(place);
+    this.logByPlace.set(place, keeper);
     await keeper.start();
     return keeper;
   }
--- a/packages/daemon/src/daemon_tokens.ts
+++ b/packages/daemon/src/daemon_tokens.ts
@@ -8,7 +8,7 @@
   WeightStore,
 } from '@bayspool/decisions';
 import {token} from '@bayspool/kernel';
-import type {CallerDesk} from './callers/caller_desk.js';
+import type {AdmissionController} from './callers/admission_controller.js';
 import type {IntentPlanner} from './operators/intent_planner.js';
 import type {BillRecorder} from './billing/bill_recorder.js';
 import type {ConfigurationStore} from './configuration/configuration_store.js';
@@ -17,17 +17,17 @@
 import type {HostIdentity} from './host/host_identity.js';
 import type {ClusterSealers} from './host/cluster_sealers.js';
 import type {LeavingState} from './leaving/leaving_state.js';
-import type {WorkspaceLimits} from './limits/workspace_limits.js';
+import type {WorkspaceRateLimiter} from './limits/workspace_rate_limiter.js';
 import type {Gossip} from './peers/gossip.js';
 import type {LocalHostState} from './peers/local_host_state.js';
 import type {PeerClient} from './peers/peer_client.js';
 import type {PeerMessageHandler} from './peers/peer_message_handler.js';
 import type {PeerTransport} from './peers/peer_transport.js';
 import type {PeerMethodRegistry} from './peers/peer_method_registry.js';
-import type {EvidenceBook} from './ratings/evidence_book.js';
-import type {RatingBook} from './ratings/rating_book.js';
+import type {VersionRatingTracker} from './ratings/version_rating_tracker.js';
+import type {RatingCollector} from './ratings/rating_collector.js';
 import type {RunnerPool} from './runners/runner_pool.js';
-import type {ServicePool} from './runners/service_pool.js';
+import type {ServiceRunnerPool} from './runners/service_runner_pool.js';
 import type {LogFreshness} from '@bayspool/decisions';
 
 /** Injection tokens of what the daemon's plugins provide to each other. */
@@ -39,7 +39,7 @@
   roster: token<Roster>('Roster'),
   weights: token<WeightStore>('WeightStore'),
   runner: token<Runner>('Runner'),
-  plainService: token<ServiceRunner>('PlainService'),
+  serviceRunner: token<ServiceRunner>('PlainService'),
   configurationStore: token<ConfigurationStore>('ConfigurationStore'),
   intentSubmitter: token<IntentSubmitter>('IntentSubmitter'),
   freshness: token<LogFreshness>('LogFreshness'),
@@ -51,14 +51,14 @@
   peerMessageHandler: token<PeerMessageHandler>('PeerMessageHandler'),
   /** Bound ahead of the peers plugin to replace HTTP between hosts. */
   peerTransport: token<PeerTransport>('PeerTransport'),
-  callerDesk: token<CallerDesk>('CallerDesk'),
+  admissionController: token<AdmissionController>('CallerDesk'),
   intentPlanner: token<IntentPlanner>('IntentPlanner'),
   peerMethods: token<PeerMethodRegistry>('PeerMethodRegistry'),
   runnerPool: token<RunnerPool>('RunnerPool'),
-  servicePool: token<ServicePool>('ServicePool'),
+  serviceRunnerPool: token<ServiceRunnerPool>('ServicePool'),
   billRecorder: token<BillRecorder>('BillRecorder'),
-  ratings: token<RatingBook>('RatingBook'),
-  evidence: token<EvidenceBook>('EvidenceBook'),
-  workspaceLimits: token<WorkspaceLimits>('WorkspaceLimits'),
+  ratingCollector: token<RatingCollector>('RatingBook'),
+  ratingTracker: token<VersionRatingTracker>('EvidenceBook'),
+  workspaceLimits: token<WorkspaceRateLimiter>('WorkspaceLimits'),
   leavingState: token<LeavingState>('LeavingState'),
 };
--- a/packages/daemon/src/limits/limits_plugin.ts
+++ b/packages/daemon/src/limits/limits_plugin.ts
@@ -1,7 +1,7 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {WorkspaceLimits} from './workspace_limits.js';
+import {WorkspaceRateLimiter} from './workspace_rate_limiter.js';
 
 const limitsSection = {
   name: 'limits',
@@ -15,15 +15,15 @@
   name: 'limits',
   sections: [limitsSection],
   install(container, settings) {
-    const limits = new WorkspaceLimits({
+    const limits = new WorkspaceRateLimiter({
       clock: container.get(tokens.clock),
       store: container.get(daemonTokens.configurationStore),
       membership: container.get(daemonTokens.membership),
-      fleet: settings.one(limitsSection).fleet,
+      fleetHosts: settings.one(limitsSection).fleet,
     });
     container
       .get(daemonTokens.localHostState)
-      .addContributor(() => ({demand: limits.demand()}));
+      .addContributor(() => ({demand: limits.measureDemand()}));
     container.bind(daemonTokens.workspaceLimits).toConstantValue(limits);
   },
 };
--- a/packages/daemon/src/limits/workspace_limits.ts
+++ b/packages/daemon/src/limits/workspace_rate_limiter.ts
@@ -13,21 +13,21 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   /** The fleet's size when every host is up: the base of the share of a host that is cut off. */
-  readonly fleet: number;
+  readonly fleetHosts: number;
 }
 
-interface Gauge {
+interface WorkspaceState {
   readonly meter: RateMeter;
   bucket: TokenBucket | undefined;
   resizedAt: number;
 }
 
-const WINDOW_MS = 5_000;
-const RESIZE_MS = 500;
+const DEMAND_WINDOW_MS = 5_000;
+const RESIZE_INTERVAL_MS = 500;
 
 /** Workspaces' limits, shared over the hosts by recent demand. */
-export class WorkspaceLimits {
-  private readonly gauges = new Map<string, Gauge>();
+export class WorkspaceRateLimiter {
+  private readonly stateByWorkspace = new Map<string, WorkspaceState>();
 
   constructor(private readonly options: Options) {}
 
@@ -35,34 +35,35 @@
   admit(workspace: string): Problem | undefined {
     const limit = this.options.store.current.workspaces[workspace]?.limit;
     if (!limit) {
-      this.gauges.delete(workspace);
+      this.stateByWorkspace.delete(workspace);
       return undefined;
     }
-    const gauge = this.gaugeOf(workspace);
+    const gauge = this.getOrCreateState(workspace);
     gauge.meter.mark();
-    const waitMs = this.bucketOf(gauge, workspace, limit).take();
-    return waitMs > 0 ? limitedProblem(limit, waitMs) : undefined;
+    const waitMs = this.getBucket(gauge, workspace, limit).take();
+    return waitMs > 0 ? createRateLimitedProblem(limit, waitMs) : undefined;
   }
 
   /** Recent requests a second at this host, by workspace with a limit. */
-  demand(): Record<string, number> {
+  measureDemand(): Record<string, number> {
     return Object.fromEntries(
-      [...this.gauges].map(([id, {meter}]) => [
+      [...this.stateByWorkspace].map(([id, {meter}]) => [
         id,
         Number(meter.perSecond().toFixed(1)),
       ]),
     );
   }
 
-  private bucketOf(
-    gauge: Gauge,
+  private getBucket(
+    gauge: WorkspaceState,
     workspace: string,
     limit: WorkspaceLimit,
   ): TokenBucket {
     const {clock} = this.options;
     const now = clock.now();
-    if (gauge.bucket && now - gauge.resizedAt < RESIZE_MS) return gauge.bucket;
-    const part = this.partOf(gauge, workspace);
+    if (gauge.bucket && now - gauge.resizedAt < RESIZE_INTERVAL_MS)
+      return gauge.bucket;
+    const part = this.computeShare(gauge, workspace);
     const perSecond = limit.requestsPerSecond * part;
     const burst = Math.max(1, limit.burst * part);
     gauge.resizedAt = now;
@@ -71,8 +72,8 @@
     return gauge.bucket;
   }
 
-  private partOf(gauge: Gauge, workspace: string): number {
-    const {membership, fleet} = this.options;
+  private computeShare(gauge: WorkspaceState, workspace: string): number {
+    const {membership, fleetHosts: fleet} = this.options;
     const ownDemand = gauge.meter.perSecond();
     const totalDemand = Math.max(membership.sumDemand(workspace), ownDemand);
     return computeLimitShare({
@@ -83,21 +84,27 @@
     });
   }
 
-  private gaugeOf(workspace: string): Gauge {
-    let gauge = this.gauges.get(workspace);
+  private getOrCreateState(workspace: string): WorkspaceState {
+    let gauge = this.stateByWorkspace.get(workspace);
     if (!gauge) {
       gauge = {
-        meter: new RateMeter({clock: this.options.clock, windowMs: WINDOW_MS}),
+        meter: new RateMeter({
+          clock: this.options.clock,
+          windowMs: DEMAND_WINDOW_MS,
+        }),
         bucket: undefined,
         resizedAt: -Infinity,
       };
-      this.gauges.set(workspace, gauge);
+      this.stateByWorkspace.set(workspace, gauge);
     }
     return gauge;
   }
 }
 
-function limitedProblem(limit: WorkspaceLimit, waitMs: number): Problem {
+function createRateLimitedProblem(
+  limit: WorkspaceLimit,
+  waitMs: number,
+): Problem {
   return new Problem({
     kind: ProblemKind.LIMITED,
     what: `the workspace is over its limit of ${limit.requestsPerSecond} requests/s`,
--- a/packages/daemon/src/operators/create_fleet_status.ts
+++ b/packages/daemon/src/operators/create_fleet_status.ts
@@ -49,11 +49,11 @@
           : null),
       evidence: membership.sumRatings(version.id) ?? null,
     })),
-    runners: pool.all().map(state => ({
-      id: state.target.id,
-      place: state.target.place,
-      fit: state.isFit(),
-      drained: Boolean(config.drained[`runner/${state.target.id}`]),
+    runners: pool.listStates().map(state => ({
+      id: state.backend.id,
+      place: state.backend.place,
+      fit: state.isHealthy(),
+      drained: Boolean(config.drained[`runner/${state.backend.id}`]),
       in_flight: state.inFlight,
       load: state.load(),
       versions: state.lastReport?.versions ?? [],
--- a/packages/daemon/src/operators/operator_server.ts
+++ b/packages/daemon/src/operators/operator_server.ts
@@ -14,8 +14,8 @@
   type Response,
 } from 'express';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import {errorAnswer} from '../callers/error_answer.js';
-import {sendAnswer} from '../callers/send_answer.js';
+import {createErrorResponse} from '../callers/create_error_response.js';
+import {sendResponse} from '../callers/send_response.js';
 import {createHealthRouter} from '../create_health_router.js';
 import type {HostIdentity} from '../host/host_identity.js';
 import {HttpServer} from '../http_server.js';
@@ -100,9 +100,9 @@
         response: Response,
         _next: NextFunction,
       ) => {
-        void sendAnswer(
+        void sendResponse(
           response,
-          errorAnswer(translateBodyError(error), randomUUID()),
+          createErrorResponse(translateBodyError(error), randomUUID()),
         );
       },
     );
--- a/packages/daemon/src/orders/order_dispatcher.ts
+++ b/packages/daemon/src/orders/order_dispatcher.ts
@@ -18,7 +18,7 @@
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
 import type {HostIdentity} from '../host/host_identity.js';
 import type {RunnerPool} from '../runners/runner_pool.js';
-import type {TargetState} from '../runners/target_state.js';
+import type {BackendState} from '../runners/backend_state.js';
 import type {PlaceLease} from './place_lease.js';
 
 interface Options {
@@ -94,22 +94,22 @@
   private async sendDueOrders(): Promise<void> {
     const {store, pool, identity} = this.options;
     const states = pool
-      .all()
+      .listStates()
       .filter(
         state =>
-          state.target.place === identity.place &&
+          state.backend.place === identity.place &&
           state.lastReport !== undefined &&
-          state.isFit(),
+          state.isHealthy(),
       );
     const inventories = states.map(state => ({
-      id: state.target.id,
+      id: state.backend.id,
       versions: state.lastReport!.versions,
       versionSlots: state.lastReport!.versionSlots,
-      drained: Boolean(store.current.drained[`runner/${state.target.id}`]),
+      drained: Boolean(store.current.drained[`runner/${state.backend.id}`]),
     }));
     for (const order of planOrders(store.current, inventories)) {
       const state = states.find(
-        candidate => candidate.target.id === order.runner,
+        candidate => candidate.backend.id === order.runner,
       )!;
       if (await this.reserveSend(order)) await this.sendOrder(order, state);
     }
@@ -146,14 +146,14 @@
 
   private async sendOrder(
     order: PlannedOrder,
-    state: TargetState<Runner>,
+    state: BackendState<Runner>,
   ): Promise<void> {
     const {lease, logger, orderTimeoutMs} = this.options;
     const fencingToken = lease.heldToken();
     if (fencingToken === undefined) return;
     const {version, desired} = order;
     try {
-      await state.target.sendOrder(
+      await state.backend.sendOrder(
         {version, desired, fencingToken},
         timeoutSignal(this.options.clock, orderTimeoutMs).signal,
       );
--- a/packages/daemon/src/ratings/rating_book.ts
+++ b/packages/daemon/src/ratings/rating_collector.ts
@@ -14,7 +14,7 @@
   type Service,
 } from '@bayspool/kernel';
 import type {Counter} from 'prom-client';
-import type {EvidenceBook} from './evidence_book.js';
+import type {VersionRatingTracker} from './version_rating_tracker.js';
 
 interface Options {
   readonly clock: Clock;
@@ -22,39 +22,39 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Absent when the platform has no rating service. */
-  readonly rating: RatingService | undefined;
-  readonly evidence: EvidenceBook;
+  readonly ratingService: RatingService | undefined;
+  readonly ratingTracker: VersionRatingTracker;
   /** Names this process at the rating service. */
-  readonly mailbox: string;
+  readonly consumerId: string;
   /** How long one read waits for a result, in ms. */
-  readonly pollMs: number;
+  readonly longPollMs: number;
   /** After this time a rating counts half, in ms. */
   readonly halfLifeMs: number;
   /** A rating that did not come for this long counts as lost, in ms. */
   readonly lostAfterMs: number;
 }
 
-interface Awaited {
+interface PendingRating {
   readonly sample: Omit<RatingSample, 'host' | 'answer'>;
   readonly since: number;
   readonly tell: (good: boolean) => void;
 }
 
-const BACKOFF_FIRST_MS = 200;
-const BACKOFF_MOST_MS = 5_000;
+const INITIAL_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 5_000;
 
 /** Hands answers in for rating and learns from the results. */
-export class RatingBook implements Service {
+export class RatingCollector implements Service {
   readonly name = 'rating book';
   private readonly stopping = new AbortController();
-  private readonly awaited = new Map<string, Awaited>();
+  private readonly pendingByRequest = new Map<string, PendingRating>();
   private readonly estimates = new Map<string, PassRateEstimate>();
-  private readonly results: Counter<'version' | 'result'>;
-  private position = 0;
+  private readonly ratingsTotal: Counter<'version' | 'result'>;
+  private lastPosition = 0;
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
-    this.results = options.metrics.counter(
+    this.ratingsTotal = options.metrics.counter(
       'ratings_total',
       'Ratings received.',
       ['version', 'result'],
@@ -62,7 +62,11 @@
   }
 
   /** The pass probability of a version at a task of a workspace. */
-  estimate(workspace: string, task: string, version: string): PassRateEstimate {
+  getEstimate(
+    workspace: string,
+    task: string,
+    version: string,
+  ): PassRateEstimate {
     const key = `${workspace}/${task}/${version}`;
     let estimate = this.estimates.get(key);
     if (!estimate) {
@@ -73,11 +77,11 @@
   }
 
   /** Hands an answer in; gives the rating if it comes within `waitMs`. */
-  async rate(
+  async requestRating(
     sample: Omit<RatingSample, 'host'>,
     waitMs: number,
   ): Promise<boolean | undefined> {
-    const {rating, clock, mailbox} = this.options;
+    const {ratingService: rating, clock, consumerId: mailbox} = this.options;
     if (!rating) return undefined;
     const {answer, ...rest} = sample;
     const result = new Promise<boolean | undefined>(resolve => {
@@ -86,7 +90,7 @@
         timer.cancel();
         resolve(good);
       };
-      this.awaited.set(sample.requestId, {
+      this.pendingByRequest.set(sample.requestId, {
         sample: rest,
         since: clock.now(),
         tell,
@@ -95,8 +99,11 @@
     try {
       await rating.submit({...rest, answer, host: mailbox});
     } catch (error) {
-      this.awaited.delete(sample.requestId);
-      this.options.evidence.dropped(sample.version, sample.requestId);
+      this.pendingByRequest.delete(sample.requestId);
+      this.options.ratingTracker.cancelExposure(
+        sample.version,
+        sample.requestId,
+      );
       this.options.logger.debug('answer not handed in for rating', {
         error: String(error),
       });
@@ -106,7 +113,7 @@
   }
 
   async start(): Promise<void> {
-    this.loop = this.run();
+    this.loop = this.pollResults();
   }
 
   async stop(): Promise<void> {
@@ -114,55 +121,62 @@
     await this.loop;
   }
 
-  private async run(): Promise<void> {
-    const {rating, random, clock, logger, pollMs, mailbox} = this.options;
+  private async pollResults(): Promise<void> {
+    const {
+      ratingService: rating,
+      random,
+      clock,
+      logger,
+      longPollMs: pollMs,
+      consumerId: mailbox,
+    } = this.options;
     if (!rating) return;
     const backoff = new Backoff({
       random,
-      initialMs: BACKOFF_FIRST_MS,
-      maxMs: BACKOFF_MOST_MS,
+      initialMs: INITIAL_BACKOFF_MS,
+      maxMs: MAX_BACKOFF_MS,
     });
     while (!this.stopping.signal.aborted) {
       try {
         const results = await rating.fetchResults(
           mailbox,
-          this.position,
+          this.lastPosition,
           pollMs,
           this.stopping.signal,
         );
-        results.forEach(result => this.take(result));
+        results.forEach(result => this.applyResult(result));
         backoff.reset();
       } catch (error) {
         if (this.stopping.signal.aborted) return;
         logger.debug('ratings not read', {error: String(error)});
         await sleep(clock, backoff.nextDelayMs(), this.stopping.signal);
       }
-      this.expire();
+      this.expirePending();
     }
   }
 
-  private take(result: RatingResult): void {
-    if (result.position <= this.position) return;
-    this.position = result.position;
-    const awaited = this.awaited.get(result.requestId);
+  private applyResult(result: RatingResult): void {
+    if (result.position <= this.lastPosition) return;
+    this.lastPosition = result.position;
+    const awaited = this.pendingByRequest.get(result.requestId);
     if (!awaited) return;
-    this.awaited.delete(result.requestId);
+    this.pendingByRequest.delete(result.requestId);
     const {workspace, task, version} = awaited.sample;
     const requestId = awaited.sample.requestId;
-    this.estimate(workspace, task, version).addRating(
+    this.getEstimate(workspace, task, version).addRating(
       result.good,
       this.options.clock.now(),
     );
-    this.options.evidence.rated(version, requestId, result.good);
-    this.results.inc({version, result: result.good ? 'good' : 'bad'});
+    this.options.ratingTracker.recordRating(version, requestId, result.good);
+    this.ratingsTotal.inc({version, result: result.good ? 'good' : 'bad'});
     awaited.tell(result.good);
   }
 
-  private expire(): void {
+  private expirePending(): void {
     const oldest = this.options.clock.now() - this.options.lostAfterMs;
-    for (const [key, {since}] of this.awaited) {
+    for (const [key, {since}] of this.pendingByRequest) {
       if (since > oldest) break;
-      this.awaited.delete(key);
+      this.pendingByRequest.delete(key);
     }
   }
 }
--- a/packages/daemon/src/ratings/ratings_plugin.ts
+++ b/packages/daemon/src/ratings/ratings_plugin.ts
@@ -2,9 +2,9 @@
 import {fields, pluginRegistry, tokens, type Plugin} from '@bayspool/kernel';
 import {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {EvidenceBook} from './evidence_book.js';
-import {RatingBook} from './rating_book.js';
-import {RollOutGate} from './roll_out_gate.js';
+import {VersionRatingTracker} from './version_rating_tracker.js';
+import {RatingCollector} from './rating_collector.js';
+import {VersionMonitor} from './version_monitor.js';
 
 const ratingsSection = {
   name: 'ratings',
@@ -39,28 +39,28 @@
     const membership = container.get(daemonTokens.membership);
     const identity = container.get(daemonTokens.hostIdentity);
     const ownState = container.get(daemonTokens.localHostState);
-    const evidence = new EvidenceBook({
+    const evidence = new VersionRatingTracker({
       clock,
       store,
       membership,
       self: identity.id,
       lostAfterMs: section['lost-after'],
     });
-    const book = new RatingBook({
+    const book = new RatingCollector({
       clock,
       random,
       logger,
       metrics,
-      evidence,
-      rating: container.isBound(daemonTokens.ratingService)
+      ratingTracker: evidence,
+      ratingService: container.isBound(daemonTokens.ratingService)
         ? container.get(daemonTokens.ratingService)
         : undefined,
-      mailbox: `${identity.id}.${identity.boot}`,
-      pollMs: section.poll,
+      consumerId: `${identity.id}.${identity.boot}`,
+      longPollMs: section.poll,
       halfLifeMs: section['half-life'],
       lostAfterMs: section['lost-after'],
     });
-    const gate = new RollOutGate({
+    const gate = new VersionMonitor({
       clock,
       random,
       logger,
@@ -68,20 +68,20 @@
       store,
       membership,
       self: identity.id,
-      filer: container.get(daemonTokens.intentSubmitter),
-      gate:
+      submitter: container.get(daemonTokens.intentSubmitter),
+      rolloutGate:
         section.gate === 'open' ? new RatingCountGate() : new SequentialGate(),
       onHalt: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: section.interval,
-      stepLeastMs: section['step-least'],
-      watchStable: section['watch-stable'],
+      minStepMs: section['step-least'],
+      monitorsStable: section['watch-stable'],
     });
     ownState.addContributor(() => ({
-      evidence: evidence.summary(),
-      suspects: gate.suspects(),
+      evidence: evidence.createSummary(),
+      suspects: gate.listSuspects(),
     }));
-    container.bind(daemonTokens.ratings).toConstantValue(book);
-    container.bind(daemonTokens.evidence).toConstantValue(evidence);
+    container.bind(daemonTokens.ratingCollector).toConstantValue(book);
+    container.bind(daemonTokens.ratingTracker).toConstantValue(evidence);
     container.bind(tokens.service).toConstantValue(book);
     container.bind(tokens.service).toConstantValue(gate);
   },
--- a/packages/daemon/src/ratings/roll_out_gate.ts
+++ b/packages/daemon/src/ratings/version_monitor.ts
@@ -22,7 +22,7 @@
 } from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
 import type {IntentSubmitter} from '../configuration/intent_submitter.js';
-import {versionStage} from './version_stage.js';
+import {getVersionStage} from './get_version_stage.js';
 
 interface Options {
   readonly clock: Clock;
@@ -32,19 +32,19 @@
   readonly self: string;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  readonly filer: IntentSubmitter;
-  readonly gate: VersionGate;
+  readonly submitter: IntentSubmitter;
+  readonly rolloutGate: VersionGate;
   /** Told when this host halted a version. */
   readonly onHalt: () => void;
   /** How often the evidence is looked at, in ms. */
   readonly intervalMs: number;
   /** How long a step lasts at least, in ms. */
-  readonly stepLeastMs: number;
+  readonly minStepMs: number;
   /** Whether stable versions are watched for turning bad. */
-  readonly watchStable: boolean;
+  readonly monitorsStable: boolean;
 }
 
-interface Watch {
+interface VersionWatch {
   readonly stage: string;
   readonly since: number;
   readonly drift: DriftDetector;
@@ -53,38 +53,38 @@
   bad: number;
 }
 
-const FIRST_FILERS = 2;
-const OTHERS_WAIT_MS = 5_000;
+const FIRST_SUBMITTERS = 2;
+const FALLBACK_DELAY_MS = 5_000;
 const LONG_TERM_HALF_LIFE_MS = 6 * 3_600_000;
-const LONG_TERM_LEAST = 50;
-const PLAN_LIFE_MS = 60_000;
+const MIN_LONG_TERM_RATINGS = 50;
+const PLAN_TTL_MS = 60_000;
 
 /**
  * Judges versions on the evidence of all hosts. A halt takes force here and, through
  * the heartbeats, at the other hosts within seconds, and is filed for the log;
  * only an operator's intent lifts it.
  */
-export class RollOutGate implements Service {
+export class VersionMonitor implements Service {
   readonly name = 'roll-out gate';
   private readonly stopping = new AbortController();
-  private readonly watches = new Map<string, Watch>();
+  private readonly watches = new Map<string, VersionWatch>();
   /** Halted versions, by the revision at which they were. */
-  private readonly halted = new Map<string, number>();
-  private readonly filing = new Set<string>();
+  private readonly haltedRevisions = new Map<string, number>();
+  private readonly pendingSubmissions = new Set<string>();
   private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: Options) {
     options.metrics.observe(
       'versions_suspect',
       'Versions that this host holds suspect.',
-      () => this.suspects().length,
+      () => this.listSuspects().length,
     );
   }
 
   /** Versions that this host halted and the log does not show as halted yet. */
-  suspects(): string[] {
+  listSuspects(): string[] {
     const {revisions} = this.options.store.current;
-    return [...this.halted]
+    return [...this.haltedRevisions]
       .filter(
         ([version, revision]) =>
           (revisions[`version/${version}`] ?? -1) === revision,
@@ -93,7 +93,7 @@
   }
 
   async start(): Promise<void> {
-    this.loop = this.run();
+    this.loop = this.evaluateRepeatedly();
   }
 
   async stop(): Promise<void> {
@@ -101,51 +101,52 @@
     await this.loop;
   }
 
-  private async run(): Promise<void> {
+  private async evaluateRepeatedly(): Promise<void> {
     const {clock, random, intervalMs} = this.options;
     while (!this.stopping.signal.aborted) {
       await sleep(clock, jitter(random, intervalMs), this.stopping.signal);
-      if (!this.stopping.signal.aborted) this.judgeAll();
+      if (!this.stopping.signal.aborted) this.evaluateAll();
     }
   }
 
-  private judgeAll(): void {
+  private evaluateAll(): void {
     for (const version of Object.values(this.options.store.current.versions)) {
       const evidence = this.options.membership.sumRatings(version.id);
       if (
         evidence &&
-        evidence.stage === versionStage(this.options.store.current, version.id)
+        evidence.stage ===
+          getVersionStage(this.options.store.current, version.id)
       )
-        this.judge(version, evidence);
+        this.evaluate(version, evidence);
     }
   }
 
-  private judge(version: Version, evidence: VersionRatings): void {
+  private evaluate(version: Version, evidence: VersionRatings): void {
     if (
       version.suspect !== undefined ||
-      this.halted.get(version.id) === this.revisionOf(version)
+      this.haltedRevisions.get(version.id) === this.getRevision(version)
     )
       return;
-    const watch = this.watchOf(version.id, evidence.stage);
-    if (version.rollOut) this.judgeStep(version, evidence, watch);
-    else if (this.options.watchStable)
-      this.judgeDrift(version, evidence, watch);
+    const watch = this.getOrCreateWatch(version.id, evidence.stage);
+    if (version.rollOut) this.evaluateRolloutStep(version, evidence, watch);
+    else if (this.options.monitorsStable)
+      this.evaluateDrift(version, evidence, watch);
   }
 
-  private judgeStep(
+  private evaluateRolloutStep(
     version: Version,
     evidence: VersionRatings,
-    watch: Watch,
+    watch: VersionWatch,
   ): void {
-    const verdict = this.options.gate.evaluate(
+    const verdict = this.options.rolloutGate.evaluate(
       evidence,
-      this.acceptableRate(version),
+      this.computeAcceptableBadRate(version),
     );
-    if (verdict === GateVerdict.HALT) this.halt(version, evidence);
+    if (verdict === GateVerdict.HALT) this.haltVersion(version, evidence);
     const stepIsOver =
-      this.options.clock.now() - watch.since >= this.options.stepLeastMs;
+      this.options.clock.now() - watch.since >= this.options.minStepMs;
     if (verdict === GateVerdict.PASS && stepIsOver) {
-      this.file({
+      this.submitOnce({
         kind: 'advance-roll-out',
         version: version.id,
         step: version.rollOut!.step + 1,
@@ -153,10 +154,10 @@
     }
   }
 
-  private judgeDrift(
+  private evaluateDrift(
     version: Version,
     evidence: VersionRatings,
-    watch: Watch,
+    watch: VersionWatch,
   ): void {
     const good = Math.max(0, evidence.good - watch.good);
     const bad = Math.max(0, evidence.bad - watch.bad);
@@ -166,9 +167,9 @@
     const turnedBad = watch.drift.addRatings(
       good,
       bad,
-      this.acceptableRate(version),
+      this.computeAcceptableBadRate(version),
     );
-    if (turnedBad) this.halt(version, evidence);
+    if (turnedBad) this.haltVersion(version, evidence);
     const now = this.options.clock.now();
     for (let count = 0; count < good; count++)
       watch.longTerm.addRating(true, now);
@@ -177,13 +178,13 @@
   }
 
   /** The rate of bad answers that is accepted: what the model's stable version shows, else what the tasks ask for. */
-  private acceptableRate(version: Version): number {
+  private computeAcceptableBadRate(version: Version): number {
     const {versions, workspaces} = this.options.store.current;
     const stable = Object.values(versions).find(
       other => other.model === version.model && other.state === 'stable',
     );
     const watch = stable && this.watches.get(stable.id);
-    if (watch && watch.longTerm.effectiveRatings() >= LONG_TERM_LEAST)
+    if (watch && watch.longTerm.effectiveRatings() >= MIN_LONG_TERM_RATINGS)
       return 1 - watch.longTerm.mean(this.options.clock.now());
     const targets = Object.values(workspaces).flatMap(workspace =>
       Object.values(workspace.tasks)
@@ -193,37 +194,50 @@
     return 1 - Math.min(1, ...targets);
   }
 
-  private halt(version: Version, evidence: VersionRatings): void {
+  private haltVersion(version: Version, evidence: VersionRatings): void {
     const {logger} = this.options;
     const text = `${evidence.bad} of ${evidence.good + evidence.bad} answers were rated bad`;
-    this.halted.set(version.id, this.revisionOf(version));
+    this.haltedRevisions.set(version.id, this.getRevision(version));
     this.options.onHalt();
     logger.warn('version halted', {version: version.id, evidence: text});
-    this.file({kind: 'halt-version', version: version.id, evidence: text});
+    this.submitOnce({
+      kind: 'halt-version',
+      version: version.id,
+      evidence: text,
+    });
   }
 
   /** Files a decision: two hosts at once, the others only if those did not. */
-  private file(intent: Intent & {version: string}): void {
+  private submitOnce(intent: Intent & {version: string}): void {
     const key = `${intent.kind} ${intent.version} ${this.options.store.current.revisions[`version/${intent.version}`]}`;
-    if (this.filing.has(key)) return;
-    this.filing.add(key);
-    void this.fileLater(intent, key).finally(() => this.filing.delete(key));
+    if (this.pendingSubmissions.has(key)) return;
+    this.pendingSubmissions.add(key);
+    void this.submitAfterDelay(intent, key).finally(() =>
+      this.pendingSubmissions.delete(key),
+    );
   }
 
-  private async fileLater(
+  private async submitAfterDelay(
     intent: Intent & {version: string},
     key: string,
   ): Promise<void> {
-    const {clock, random, store, filer, membership, self, logger} =
-      this.options;
+    const {
+      clock,
+      random,
+      store,
+      submitter: filer,
+      membership,
+      self,
+      logger,
+    } = this.options;
     const first = selectByRendezvousHash(
       membership.listAllHosts().map(host => host.id),
       key,
-      FIRST_FILERS,
+      FIRST_SUBMITTERS,
     );
     const delay = first.includes(self)
-      ? first.indexOf(self) * (OTHERS_WAIT_MS / 10)
-      : OTHERS_WAIT_MS * (1 + random.next());
+      ? first.indexOf(self) * (FALLBACK_DELAY_MS / 10)
+      : FALLBACK_DELAY_MS * (1 + random.next());
     const revision = store.current.revisions[`version/${intent.version}`];
     await sleep(clock, delay, this.stopping.signal);
     if (
@@ -235,7 +249,7 @@
       config: store.current,
       intent,
       id: randomUUID(),
-      lapsesAt: clock.wall() + PLAN_LIFE_MS,
+      lapsesAt: clock.wall() + PLAN_TTL_MS,
     });
     if (plan.isLeft()) return;
     const verdict = await filer.submit(plan.unsafeCoerce(), `host ${self}`);
@@ -246,7 +260,7 @@
     });
   }
 
-  private watchOf(version: string, stage: string): Watch {
+  private getOrCreateWatch(version: string, stage: string): VersionWatch {
     const known = this.watches.get(version);
     if (known?.stage === stage) return known;
     const longTerm =
@@ -264,7 +278,7 @@
     return watch;
   }
 
-  private revisionOf(version: Version): number {
+  private getRevision(version: Version): number {
     return this.options.store.current.revisions[`version/${version.id}`] ?? -1;
   }
 }
--- a/packages/daemon/src/ratings/evidence_book.ts
+++ b/packages/daemon/src/ratings/version_rating_tracker.ts
@@ -6,7 +6,7 @@
 } from '@bayspool/decisions';
 import type {Clock} from '@bayspool/kernel';
 import type {ConfigurationStore} from '../configuration/configuration_store.js';
-import {versionStage} from './version_stage.js';
+import {getVersionStage} from './get_version_stage.js';
 
 interface Options {
   readonly clock: Clock;
@@ -17,22 +17,22 @@
   readonly lostAfterMs: number;
 }
 
-interface Counts {
+interface StageCounts {
   readonly stage: string;
   good: number;
   bad: number;
   /** When each answer without a rating was given out, by request. */
-  readonly open: Map<string, number>;
+  readonly unrated: Map<string, number>;
 }
 
 /** This host's ratings of each version, and its part of the exposure budgets. */
-export class EvidenceBook {
-  private readonly counts = new Map<string, Counts>();
+export class VersionRatingTracker {
+  private readonly countsByVersion = new Map<string, StageCounts>();
 
   constructor(private readonly options: Options) {}
 
   /** Whether another answer of a version that rolls out may go out without a rating. */
-  mayExpose(version: Version): boolean {
+  hasExposureBudget(version: Version): boolean {
     if (!version.rollOut) return true;
     const {membership, self} = this.options;
     const hosts = membership.listAllHosts().map(host => host.id);
@@ -42,51 +42,54 @@
       self,
       hosts,
     });
-    return this.countsOf(version.id).open.size < quota;
+    return this.getCurrentCounts(version.id).unrated.size < quota;
   }
 
-  opened(version: string, requestId: string): void {
-    this.countsOf(version).open.set(requestId, this.options.clock.now());
+  recordExposure(version: string, requestId: string): void {
+    this.getCurrentCounts(version).unrated.set(
+      requestId,
+      this.options.clock.now(),
+    );
   }
 
   /** The answer never came to be, so there will be no rating. */
-  dropped(version: string, requestId: string): void {
-    this.countsOf(version).open.delete(requestId);
+  cancelExposure(version: string, requestId: string): void {
+    this.getCurrentCounts(version).unrated.delete(requestId);
   }
 
-  rated(version: string, requestId: string, good: boolean): void {
-    const counts = this.countsOf(version);
-    const expected = counts.open.delete(requestId);
+  recordRating(version: string, requestId: string, good: boolean): void {
+    const counts = this.getCurrentCounts(version);
+    const expected = counts.unrated.delete(requestId);
     if (!expected) return;
     if (good) counts.good++;
     else counts.bad++;
   }
 
   /** What the other hosts are told. */
-  summary(): Record<string, VersionRatings> {
-    const versions = [...this.counts.keys()].map(version => {
-      const {stage, good, bad, open} = this.countsOf(version);
+  createSummary(): Record<string, VersionRatings> {
+    const versions = [...this.countsByVersion.keys()].map(version => {
+      const {stage, good, bad, unrated: open} = this.getCurrentCounts(version);
       return [version, {stage, good, bad, open: open.size}] as const;
     });
     return Object.fromEntries(versions);
   }
 
-  private countsOf(version: string): Counts {
-    const stage = versionStage(this.options.store.current, version);
-    let counts = this.counts.get(version);
+  private getCurrentCounts(version: string): StageCounts {
+    const stage = getVersionStage(this.options.store.current, version);
+    let counts = this.countsByVersion.get(version);
     if (!counts || counts.stage !== stage) {
-      counts = {stage, good: 0, bad: 0, open: new Map()};
-      this.counts.set(version, counts);
+      counts = {stage, good: 0, bad: 0, unrated: new Map()};
+      this.countsByVersion.set(version, counts);
     }
-    this.expire(counts);
+    this.expireUnrated(counts);
     return counts;
   }
 
-  private expire(counts: Counts): void {
+  private expireUnrated(counts: StageCounts): void {
     const oldest = this.options.clock.now() - this.options.lostAfterMs;
-    for (const [requestId, since] of counts.open) {
+    for (const [requestId, since] of counts.unrated) {
       if (since > oldest) break;
-      counts.open.delete(requestId);
+      counts.unrated.delete(requestId);
     }
   }
 }
--- a/packages/daemon/src/runners/grant_result.ts
+++ b/packages/daemon/src/runners/attempt_result.ts
@@ -1,10 +1,10 @@
 /** How a dispatched request ended, as far as the runner is concerned. */
-const GrantResult = {
+const AttemptResult = {
   OK: 'ok',
   FAILED: 'failed',
   BUSY: 'busy',
   CANCELLED: 'cancelled',
 } as const;
-type GrantResult = (typeof GrantResult)[keyof typeof GrantResult];
+type AttemptResult = (typeof AttemptResult)[keyof typeof AttemptResult];
 
-export {GrantResult};
+export {AttemptResult};
--- a/packages/daemon/src/runners/target.ts
+++ b/packages/daemon/src/runners/backend.ts
@@ -1,5 +1,5 @@
 /** Something that work is sent to: a model engine or a plain service's runner. */
-export interface Target {
+export interface Backend {
   readonly id: string;
   readonly place: string;
 }
--- a/packages/daemon/src/runners/embedded_runners_plugin.ts
+++ b/packages/daemon/src/runners/embedded_runners_plugin.ts
@@ -37,7 +37,7 @@
       const app = apps.get(service) ?? new PackApp({clock});
       apps.set(service, app);
       container
-        .bind(daemonTokens.plainService)
+        .bind(daemonTokens.serviceRunner)
         .toConstantValue(new EmbeddedService({id, service, place, app}));
     }
   },
--- a/packages/daemon/src/runners/http_runner.ts
+++ b/packages/daemon/src/runners/http_runner.ts
@@ -12,8 +12,8 @@
 import got, {HTTPError, type Got} from 'got';
 import {Agent as StreamAgent, request as undiciRequest} from 'undici';
 import {z} from 'zod';
-import {connectionFailed} from './connection_failed.js';
-import {engineChunk} from './engine_chunk.js';
+import {isConnectFailure} from './is_connect_failure.js';
+import {parseEngineChunk} from './parse_engine_chunk.js';
 
 interface Options {
   readonly id: string;
@@ -22,16 +22,16 @@
   readonly endpoint: string;
   readonly connectTimeoutMs: number;
   /** No event for this long means that the answer was cut, in ms. */
-  readonly stallMs: number;
+  readonly stallTimeoutMs: number;
 }
 
-const REFUSED_HEADER = 'x-engine-refused';
-const BUSY = 'busy';
-const DONE = '[DONE]';
-const SOCKETS_MOST = 2_048;
+const REFUSAL_HEADER = 'x-engine-refused';
+const BUSY_REFUSAL = 'busy';
+const END_OF_STREAM = '[DONE]';
+const MAX_SOCKETS = 2_048;
 const OK = 200;
 
-const report = z.object({
+const reportSchema = z.object({
   running: z.number(),
   waiting: z.number(),
   slots: z.number().positive(),
@@ -39,7 +39,7 @@
   checksOrders: z.boolean(),
   versionSlots: z.number(),
 });
-const cacheEvents = z.array(
+const cacheEventsSchema = z.array(
   z.object({
     position: z.int(),
     kind: z.enum(['stored', 'evicted']),
@@ -53,8 +53,8 @@
   readonly place: string;
   private readonly http: Got;
   /** Connections for answers. `got` took twice the processor time a token: see docs/HOUSE-STYLE.md. */
-  private readonly streams: StreamAgent;
-  private readonly url: string;
+  private readonly streamAgent: StreamAgent;
+  private readonly completionsUrl: string;
 
   constructor(private readonly options: Options) {
     this.id = options.id;
@@ -65,13 +65,13 @@
       followRedirect: false,
       timeout: {connect: options.connectTimeoutMs},
     });
-    this.url = `http://${options.endpoint}/v1/chat/completions`;
-    this.streams = new StreamAgent({
-      connections: SOCKETS_MOST,
+    this.completionsUrl = `http://${options.endpoint}/v1/chat/completions`;
+    this.streamAgent = new StreamAgent({
+      connections: MAX_SOCKETS,
       pipelining: 1,
       connect: {timeout: options.connectTimeoutMs},
-      headersTimeout: options.stallMs,
-      bodyTimeout: options.stallMs,
+      headersTimeout: options.stallTimeoutMs,
+      bodyTimeout: options.stallTimeoutMs,
     });
   }
 
@@ -79,11 +79,12 @@
     request: GenerateRequest,
     signal: AbortSignal,
   ): AsyncGenerator<GenerateEvent> {
-    const body = await this.open(request, signal);
+    const body = await this.openStream(request, signal);
     const events: GenerateEvent[] = [];
     const parser = createParser({
       onEvent: event => {
-        if (event.data !== DONE) events.push(...engineChunk(event.data));
+        if (event.data !== END_OF_STREAM)
+          events.push(...parseEngineChunk(event.data));
       },
     });
     const decoder = new TextDecoder();
@@ -105,47 +106,50 @@
     if (final) yield final;
   }
 
-  private async ask(path: string, signal: AbortSignal): Promise<unknown> {
+  private async getJson(path: string, signal: AbortSignal): Promise<unknown> {
     const {statusCode, body} = await undiciRequest(
       `http://${this.options.endpoint}${path}`,
-      {dispatcher: this.streams, signal},
+      {dispatcher: this.streamAgent, signal},
     );
     if (statusCode === OK) return body.json();
     body.on('error', () => undefined).resume();
-    throw statusFailure(this.id, statusCode, undefined);
+    throw createStatusFailure(this.id, statusCode, undefined);
   }
 
   /** Sends the request and gives the answer's body once the engine has accepted it. */
-  private async open(
+  private async openStream(
     request: GenerateRequest,
     signal: AbortSignal,
   ): Promise<Readable> {
     try {
-      const {statusCode, headers, body} = await undiciRequest(this.url, {
-        method: 'POST',
-        headers: {...request.headers, 'content-type': 'application/json'},
-        body: JSON.stringify(toBody(request)),
-        dispatcher: this.streams,
-        signal,
-      });
+      const {statusCode, headers, body} = await undiciRequest(
+        this.completionsUrl,
+        {
+          method: 'POST',
+          headers: {...request.headers, 'content-type': 'application/json'},
+          body: JSON.stringify(createBody(request)),
+          dispatcher: this.streamAgent,
+          signal,
+        },
+      );
       if (statusCode === OK) return body;
       body.on('error', () => undefined).resume();
-      throw statusFailure(this.id, statusCode, headers[REFUSED_HEADER]);
+      throw createStatusFailure(this.id, statusCode, headers[REFUSAL_HEADER]);
     } catch (error) {
       throw toFailure(error, this.id);
     }
   }
 
   async fetchReport(signal: AbortSignal): Promise<RunnerReport> {
-    return report.parse(await this.ask('/report', signal));
+    return reportSchema.parse(await this.getJson('/report', signal));
   }
 
   async fetchCacheEvents(
     after: number,
     signal: AbortSignal,
   ): Promise<CacheEvent[]> {
-    return cacheEvents.parse(
-      await this.ask(`/cache-events?after=${after}`, signal),
+    return cacheEventsSchema.parse(
+      await this.getJson(`/cache-events?after=${after}`, signal),
     );
   }
 
@@ -163,7 +167,7 @@
   }
 }
 
-function toBody(request: GenerateRequest): object {
+function createBody(request: GenerateRequest): object {
   return {
     ...request.body,
     model: request.version,
@@ -179,16 +183,16 @@
   if (error instanceof RunnerFailure) return error;
   if (error instanceof HTTPError) {
     const {statusCode, headers} = error.response;
-    return statusFailure(id, statusCode, headers[REFUSED_HEADER]);
+    return createStatusFailure(id, statusCode, headers[REFUSAL_HEADER]);
   }
   return new RunnerFailure({
     message: `runner ${id} failed: ${error instanceof Error ? error.message : error}`,
-    mayHaveRun: !connectionFailed(error),
+    mayHaveRun: !isConnectFailure(error),
     cause: error,
   });
 }
 
-function statusFailure(
+function createStatusFailure(
   id: string,
   status: number,
   refused: string | string[] | undefined,
@@ -196,6 +200,6 @@
   return new RunnerFailure({
     message: `runner ${id} answered ${status}`,
     mayHaveRun: refused === undefined,
-    busy: refused === BUSY,
+    busy: refused === BUSY_REFUSAL,
   });
 }
--- a/packages/daemon/src/runners/http_runners_plugin.ts
+++ b/packages/daemon/src/runners/http_runners_plugin.ts
@@ -1,7 +1,7 @@
 import {pluginRegistry, type Plugin} from '@bayspool/kernel';
 import {daemonTokens} from '../daemon_tokens.js';
 import {HttpRunner} from './http_runner.js';
-import {HttpService} from './http_service.js';
+import {HttpServiceRunner} from './http_service_runner.js';
 import {runnerSections} from './runner_sections.js';
 
 const httpRunnersPlugin: Plugin = {
@@ -15,7 +15,7 @@
     const routing = settings.one(runnerSections.routing);
     const common = {
       connectTimeoutMs: routing['connect-timeout'],
-      stallMs: routing.stall,
+      stallTimeoutMs: routing.stall,
     };
     for (const [id, {place, address}] of settings.all(runnerSections.runner)) {
       container
@@ -27,11 +27,15 @@
     for (const [id, {service, place, address}] of settings.all(
       runnerSections.serviceRunner,
     )) {
-      container
-        .bind(daemonTokens.plainService)
-        .toConstantValue(
-          new HttpService({id, service, place, endpoint: address, ...common}),
-        );
+      container.bind(daemonTokens.serviceRunner).toConstantValue(
+        new HttpServiceRunner({
+          id,
+          service,
+          place,
+          endpoint: address,
+          ...common,
+        }),
+      );
     }
   },
 };
--- a/packages/daemon/src/runners/http_service.ts
+++ b/packages/daemon/src/runners/http_service_runner.ts
@@ -7,7 +7,7 @@
   type ServiceRequest,
 } from '@bayspool/decisions';
 import got, {type Method} from 'got';
-import {connectionFailed} from './connection_failed.js';
+import {isConnectFailure} from './is_connect_failure.js';
 
 interface Options {
   readonly id: string;
@@ -15,14 +15,14 @@
   readonly place: string;
   readonly endpoint: string;
   readonly connectTimeoutMs: number;
-  readonly stallMs: number;
+  readonly stallTimeoutMs: number;
 }
 
 /**
  * A plain service's runner over HTTP. Every call has a connection of its own: a
  * kept one could die under a request and leave open whether it arrived.
  */
-export class HttpService implements ServiceRunner {
+export class HttpServiceRunner implements ServiceRunner {
   readonly id: string;
   readonly service: string;
   readonly place: string;
@@ -49,7 +49,7 @@
         decompress: false,
         timeout: {
           connect: this.options.connectTimeoutMs,
-          socket: this.options.stallMs,
+          socket: this.options.stallTimeoutMs,
         },
         signal,
       },
@@ -69,7 +69,7 @@
   private toFailure(error: Error): RunnerFailure {
     return new RunnerFailure({
       message: `runner ${this.id} failed: ${error.message}`,
-      mayHaveRun: !connectionFailed(error),
+      mayHaveRun: !isConnectFailure(error),
       cause: error,
     });
   }
--- a/packages/daemon/src/runners/engine_chunk.ts
+++ b/packages/daemon/src/runners/parse_engine_chunk.ts
@@ -1,7 +1,7 @@
 import {RunnerFailure, type GenerateEvent} from '@bayspool/decisions';
 import {z} from 'zod';
 
-const chunk = z.object({
+const chunkSchema = z.object({
   id: z.string(),
   token_index: z.int().min(0).optional(),
   choices: z
@@ -18,8 +18,8 @@
 });
 
 /** Reads one data line of an engine's stream. A line that is not of the format fails the attempt. */
-export function engineChunk(data: string): GenerateEvent[] {
-  const parsed = chunk.safeParse(parseJson(data));
+export function parseEngineChunk(data: string): GenerateEvent[] {
+  const parsed = chunkSchema.safeParse(parseJson(data));
   if (!parsed.success)
     throw new RunnerFailure({
       message: 'the engine sent a malformed chunk',
--- a/packages/daemon/src/runners/pool_settings.ts
+++ b/packages/daemon/src/runners/pool_settings.ts
@@ -1,23 +1,23 @@
 /** Bounds of a pool. Times are in ms. */
 export interface PoolSettings {
   /** Requests that a runner is taken to serve at once while it does not say. */
-  readonly slots: number;
+  readonly defaultSlots: number;
   /** An older report is not used. */
-  readonly reportMaxAgeMs: number;
+  readonly maxReportAgeMs: number;
   /** Requests of one class that may wait. */
-  readonly queueMost: number;
+  readonly maxQueuedPerClass: number;
   /** No more than this part of the runners of a place is kept out by ejection. */
-  readonly ejectedPartMost: number;
+  readonly maxEjectedShare: number;
   readonly health: {
-    readonly failuresMost: number;
-    readonly ejectMs: number;
-    readonly ejectMostMs: number;
+    readonly maxFailures: number;
+    readonly ejectionMs: number;
+    readonly maxEjectionMs: number;
     readonly slowStartMs: number;
   };
   readonly limit: {
     readonly initial: number;
-    readonly least: number;
-    readonly most: number;
+    readonly min: number;
+    readonly max: number;
   };
-  readonly prefixes: {readonly maxAgeMs: number; readonly most: number};
+  readonly prefixes: {readonly maxAgeMs: number; readonly maxPrefixes: number};
 }
--- a/packages/daemon/src/runners/runner_poller.ts
+++ b/packages/daemon/src/runners/runner_poller.ts
@@ -10,7 +10,7 @@
   type Service,
 } from '@bayspool/kernel';
 import type {RunnerPool} from './runner_pool.js';
-import type {TargetState} from './target_state.js';
+import type {BackendState} from './backend_state.js';
 
 interface Options {
   readonly clock: Clock;
@@ -20,13 +20,13 @@
   /** How often each runner is asked, in ms, as far as the budget allows. */
   readonly intervalMs: number;
   /** Polls a second over all runners; with more runners each is asked less often. */
-  readonly pollsPerSecond: number;
+  readonly maxPollsPerSecond: number;
   readonly timeoutMs: number;
 }
 
 const SECOND_MS = 1_000;
-const IN_USE_MS = 10_000;
-const IDLE_FACTOR = 6;
+const IN_USE_WINDOW_MS = 10_000;
+const IDLE_INTERVAL_FACTOR = 6;
 
 /** Asks the engines for their load and cache events, at a bounded cost. */
 export class RunnerPoller implements Service {
@@ -37,10 +37,10 @@
   constructor(private readonly options: Options) {}
 
   async start(): Promise<void> {
-    const states = this.options.pool.all();
+    const states = this.options.pool.listStates();
     setMaxListeners(0, this.stopping.signal);
     await Promise.all(states.map(state => this.poll(state)));
-    this.loops = states.map(state => this.run(state));
+    this.loops = states.map(state => this.pollRepeatedly(state));
   }
 
   async stop(): Promise<void> {
@@ -48,41 +48,49 @@
     await Promise.all(this.loops);
   }
 
-  private async run(state: TargetState<Runner>): Promise<void> {
+  private async pollRepeatedly(state: BackendState<Runner>): Promise<void> {
     const {clock, random, pool} = this.options;
     for (;;) {
       await sleep(
         clock,
-        jitter(random, this.intervalOf(state)),
+        jitter(random, this.computeIntervalMs(state)),
         this.stopping.signal,
       );
       if (this.stopping.signal.aborted) return;
       await this.poll(state);
-      pool.serve();
+      pool.dispatchQueued();
     }
   }
 
   /** A runner that this host does not use is asked less often; all together keep to the budget. */
-  private intervalOf(state: TargetState<Runner>): number {
-    const {clock, intervalMs, pollsPerSecond, pool} = this.options;
-    const isInUse = clock.now() - state.usedAt < IN_USE_MS;
-    const wanted = isInUse ? intervalMs : intervalMs * IDLE_FACTOR;
-    return Math.max(wanted, (pool.all().length / pollsPerSecond) * SECOND_MS);
+  private computeIntervalMs(state: BackendState<Runner>): number {
+    const {
+      clock,
+      intervalMs,
+      maxPollsPerSecond: pollsPerSecond,
+      pool,
+    } = this.options;
+    const isInUse = clock.now() - state.lastDispatchedAt < IN_USE_WINDOW_MS;
+    const wanted = isInUse ? intervalMs : intervalMs * IDLE_INTERVAL_FACTOR;
+    return Math.max(
+      wanted,
+      (pool.listStates().length / pollsPerSecond) * SECOND_MS,
+    );
   }
 
-  private async poll(state: TargetState<Runner>): Promise<void> {
+  private async poll(state: BackendState<Runner>): Promise<void> {
     const timeout = timeoutSignal(this.options.clock, this.options.timeoutMs);
     const signal = AbortSignal.any([this.stopping.signal, timeout.signal]);
     try {
-      state.reported(await state.target.fetchReport(signal));
+      state.updateFromReport(await state.backend.fetchReport(signal));
       state.prefixes.applyEvents(
-        await state.target.fetchCacheEvents(state.prefixes.position, signal),
+        await state.backend.fetchCacheEvents(state.prefixes.position, signal),
       );
     } catch (error) {
       if (this.stopping.signal.aborted) return;
-      state.reportFailed();
+      state.recordReportFailure();
       this.options.logger.debug('runner report failed', {
-        runner: state.target.id,
+        runner: state.backend.id,
         error: String(error),
       });
     } finally {
--- a/packages/daemon/src/runners/runner_pool.ts
+++ b/packages/daemon/src/runners/runner_pool.ts
@@ -1,5 +1,5 @@
 import type {Runner} from '@bayspool/decisions';
-import {TargetPool} from './target_pool.js';
+import {BackendPool} from './backend_pool.js';
 
 /** The model engines that this host may use. */
-export class RunnerPool extends TargetPool<Runner> {}
+export class RunnerPool extends BackendPool<Runner> {}
--- a/packages/daemon/src/runners/runners_plugin.ts
+++ b/packages/daemon/src/runners/runners_plugin.ts
@@ -14,13 +14,13 @@
 } from '@bayspool/kernel';
 import type {z} from 'zod';
 import {daemonTokens} from '../daemon_tokens.js';
-import {poolSettingsOf} from './pool_settings_of.js';
+import {readPoolSettings} from './read_pool_settings.js';
 import {RunnerPoller} from './runner_poller.js';
 import {RunnerPool} from './runner_pool.js';
 import {runnerSections} from './runner_sections.js';
-import {ServicePool} from './service_pool.js';
+import {ServiceRunnerPool} from './service_runner_pool.js';
 
-type Routing = z.output<typeof runnerSections.routing.shape>;
+type RoutingSettings = z.output<typeof runnerSections.routing.shape>;
 
 const runnersPlugin: Plugin = {
   name: 'runners',
@@ -39,44 +39,44 @@
       clock,
       random,
       isDrained,
-      settings: poolSettingsOf(routing),
-      order:
+      settings: readPoolSettings(routing),
+      discipline:
         routing.order === 'fair'
           ? new StartTimeFairQueueing()
           : new FifoQueueing(),
-      choice: chooserOf(routing, random),
-      crossing: new CrossingPolicy({
+      loadBalancer: createLoadBalancer(routing, random),
+      crossingPolicy: new CrossingPolicy({
         startLoad: routing['crossing-enter'],
         stopLoad: routing['crossing-leave'],
         maxTargetLoad: routing['crossing-cap'],
       }),
     });
     const pool = new RunnerPool(common());
-    const services = new ServicePool(common());
+    const services = new ServiceRunnerPool(common());
     if (container.isBound(daemonTokens.runner))
       container
         .getAll(daemonTokens.runner)
         .forEach(runner => pool.add(runner, []));
-    if (container.isBound(daemonTokens.plainService)) {
+    if (container.isBound(daemonTokens.serviceRunner)) {
       container
-        .getAll(daemonTokens.plainService)
+        .getAll(daemonTokens.serviceRunner)
         .forEach(service => services.add(service, [service.service]));
     }
     store.subscribe(() => {
-      pool.serve();
-      services.serve();
+      pool.dispatchQueued();
+      services.dispatchQueued();
     });
     container
       .get(daemonTokens.localHostState)
-      .addContributor(() => ({running: pool.running()}));
+      .addContributor(() => ({running: pool.countRunningByPlace()}));
     metrics.observeEach(
       'runner_requests_in_flight',
       'Requests of this host at each runner.',
       'runner',
       () =>
         Object.fromEntries(
-          [...pool.all(), ...services.all()].map(state => [
-            state.target.id,
+          [...pool.listStates(), ...services.listStates()].map(state => [
+            state.backend.id,
             state.inFlight,
           ]),
         ),
@@ -86,12 +86,12 @@
       'Requests that wait for a runner.',
       'pool',
       () => ({
-        engines: pool.waiting,
-        services: services.waiting,
+        engines: pool.queueLength,
+        services: services.queueLength,
       }),
     );
     container.bind(daemonTokens.runnerPool).toConstantValue(pool);
-    container.bind(daemonTokens.servicePool).toConstantValue(services);
+    container.bind(daemonTokens.serviceRunnerPool).toConstantValue(services);
     container.bind(tokens.service).toConstantValue(
       new RunnerPoller({
         clock,
@@ -99,14 +99,17 @@
         pool,
         logger: container.get(tokens.logger),
         intervalMs: routing['poll-interval'],
-        pollsPerSecond: routing['polls-per-second'],
+        maxPollsPerSecond: routing['polls-per-second'],
         timeoutMs: routing['connect-timeout'],
       }),
     );
   },
 };
 
-function chooserOf(routing: Routing, random: RandomSource): LoadBalancer {
+function createLoadBalancer(
+  routing: RoutingSettings,
+  random: RandomSource,
+): LoadBalancer {
   if (routing.choice === 'round-robin') return new RoundRobin();
   return new LeastPredictedWait({random, crossingMs: routing['crossing-cost']});
 }
--- a/packages/daemon/src/runners/service_pool.ts
+++ b/packages/daemon/src/runners/service_runner_pool.ts
@@ -1,5 +1,5 @@
 import type {ServiceRunner} from '@bayspool/decisions';
-import {TargetPool} from './target_pool.js';
+import {BackendPool} from './backend_pool.js';
 
 /** The plain services' runners that this host may use. */
-export class ServicePool extends TargetPool<ServiceRunner> {}
+export class ServiceRunnerPool extends BackendPool<ServiceRunner> {}
--- a/packages/decisions/src/routing/adaptive_concurrency_limit.ts
+++ b/packages/decisions/src/routing/adaptive_concurrency_limit.ts
@@ -1,8 +1,8 @@
 interface Options {
   /** Initial number of concurrent requests. */
   readonly initial: number;
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
 }
 
 const DECREASE_FACTOR = 0.8;
@@ -25,11 +25,11 @@
   /** Records that a request succeeded while `inFlight` requests were in progress. */
   recordSuccess(inFlight: number): void {
     if (inFlight < this.value - 1) return;
-    this.limit = Math.min(this.options.most, this.limit + 1 / this.limit);
+    this.limit = Math.min(this.options.max, this.limit + 1 / this.limit);
   }
 
   /** Records that the runner rejected a request for lack of capacity, or queued it. */
   recordOverload(): void {
-    this.limit = Math.max(this.options.least, this.limit * DECREASE_FACTOR);
+    this.limit = Math.max(this.options.min, this.limit * DECREASE_FACTOR);
   }
 }
--- a/packages/decisions/src/routing/runner_health.ts
+++ b/packages/decisions/src/routing/runner_health.ts
@@ -5,10 +5,10 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Consecutive failures after which a runner is ejected. */
-  readonly failuresMost: number;
+  readonly maxFailures: number;
   /** Length of the first ejection in ms; it doubles with each consecutive one. */
-  readonly ejectMs: number;
-  readonly ejectMostMs: number;
+  readonly ejectionMs: number;
+  readonly maxEjectionMs: number;
   /** Time over which a returning runner ramps up to its full share, in ms. */
   readonly slowStartMs: number;
 }
@@ -31,14 +31,11 @@
 
   recordFailure(): void {
     this.consecutiveFailures++;
-    if (
-      this.consecutiveFailures < this.options.failuresMost ||
-      this.isEjected()
-    )
+    if (this.consecutiveFailures < this.options.maxFailures || this.isEjected())
       return;
     const length = Math.min(
-      this.options.ejectMs * 2 ** this.consecutiveEjections,
-      this.options.ejectMostMs,
+      this.options.ejectionMs * 2 ** this.consecutiveEjections,
+      this.options.maxEjectionMs,
     );
     this.consecutiveEjections++;
     this.consecutiveFailures = 0;
--- a/packages/decisions/src/routing/runner_prefix_cache.ts
+++ b/packages/decisions/src/routing/runner_prefix_cache.ts
@@ -6,7 +6,7 @@
   /** A prefix that was not refreshed for this long is ignored, in ms. */
   readonly maxAgeMs: number;
   /** Maximum number of prefixes; the oldest are evicted first. */
-  readonly most: number;
+  readonly maxPrefixes: number;
 }
 
 /** The presumed content of one engine's prefix cache. Only a hint: a gap in the events clears it. */
@@ -60,7 +60,7 @@
   private store(prefix: string): void {
     this.storedAtByPrefix.delete(prefix);
     this.storedAtByPrefix.set(prefix, this.options.clock.now());
-    if (this.storedAtByPrefix.size > this.options.most)
+    if (this.storedAtByPrefix.size > this.options.maxPrefixes)
       this.storedAtByPrefix.delete(this.storedAtByPrefix.keys().next().value!);
   }
 }
