--- a/packages/daemon/src/billing/bill_recorder.ts
+++ b/packages/daemon/src/billing/bill_recorder.ts
@@ -55,7 +55,7 @@
  * them and appends them itself.
  */
 export class BillRecorder implements Service {
-  readonly name = 'bill recorder';
+  readonly name = 'bill keeper';
   private readonly stopping = new AbortController();
   private readonly outbox: BillOutbox;
   private readonly unreplicatedTotal: Counter;
--- a/packages/daemon/src/leaving/roster_poller.ts
+++ b/packages/daemon/src/leaving/roster_poller.ts
@@ -20,7 +20,7 @@
 
 /** Polls the platform's roster of hosts. When a read fails, the last roster stays in force. */
 export class RosterPoller implements Service {
-  readonly name = 'roster poller';
+  readonly name = 'roster watcher';
   private readonly stopping = new AbortController();
   private loop: Promise<void> = Promise.resolve();
 
--- a/packages/daemon/src/orders/order_dispatcher.ts
+++ b/packages/daemon/src/orders/order_dispatcher.ts
@@ -45,7 +45,7 @@
  * limited to this place's share of the weight store's rate.
  */
 export class OrderDispatcher implements Service {
-  readonly name = 'order dispatcher';
+  readonly name = 'order keeper';
   private readonly stopping = new AbortController();
   private readonly ordersTotal: Counter<'desired' | 'result'>;
   /** Earliest time of the next load by the rate limit, on the local clock. */
--- a/packages/daemon/src/peers/configuration_fetcher.ts
+++ b/packages/daemon/src/peers/configuration_fetcher.ts
@@ -40,7 +40,7 @@
 
 /** Fetches the configuration from a peer with a higher offset when the log does not deliver it. */
 export class ConfigurationFetcher implements Service {
-  readonly name = 'configuration fetcher';
+  readonly name = 'catch up';
   private readonly stopping = new AbortController();
   private behindSince: number | undefined;
   private loop: Promise<void> = Promise.resolve();
--- a/packages/gateway/src/http/fetch_response.ts
+++ b/packages/gateway/src/http/fetch_response.ts
@@ -27,7 +27,7 @@
   return new Promise((resolve, reject) => {
     const outgoing = startRequest({agent, host, port, method, path, headers});
     const timer = clock.after(timeoutMs, () =>
-      outgoing.destroy(new Error(`no response within ${timeoutMs} ms`)),
+      outgoing.destroy(new Error(`no answer within ${timeoutMs} ms`)),
     );
     const fail = (error: Error) => {
       timer.cancel();
