--- a/packages/daemon/src/ratings/get_version_stage.ts
+++ b/packages/daemon/src/ratings/get_version_stage.ts
@@ -1,6 +1,6 @@
 import type {Configuration} from '@bayspool/decisions';
 
-/** Names the stage of a version's life that its evidence belongs to: it changes with each step, halt and resumption. */
+/** Returns the stage of a version that its ratings are counted for; it changes with each rollout step, halt and resumption. */
 export function getVersionStage(
   config: Configuration,
   version: string,
--- a/packages/daemon/src/ratings/rating_collector.ts
+++ b/packages/daemon/src/ratings/rating_collector.ts
@@ -21,16 +21,16 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Absent when the platform has no rating service. */
+  /** Undefined when the platform has no rating service. */
   readonly ratingService: RatingService | undefined;
   readonly ratingTracker: VersionRatingTracker;
-  /** Names this process at the rating service. */
+  /** Identifies this process at the rating service; results are fetched under it. */
   readonly consumerId: string;
-  /** How long one read waits for a result, in ms. */
+  /** How long one long poll waits for a result, in ms. */
   readonly longPollMs: number;
-  /** After this time a rating counts half, in ms. */
+  /** The time after which the weight of a rating has halved, in ms. */
   readonly halfLifeMs: number;
-  /** A rating that did not come for this long counts as lost, in ms. */
+  /** A rating that has not arrived after this time counts as lost, in ms. */
   readonly lostAfterMs: number;
 }
 
@@ -40,10 +40,10 @@
   readonly tell: (good: boolean) => void;
 }
 
-const INITIAL_BACKOFF_MS = 200;
+const MIN_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 5_000;
 
-/** Hands answers in for rating and learns from the results. */
+/** Submits answers for rating and updates the pass rate estimates from the results. */
 export class RatingCollector implements Service {
   readonly name = 'rating book';
   private readonly stopping = new AbortController();
@@ -61,7 +61,7 @@
     );
   }
 
-  /** The pass probability of a version at a task of a workspace. */
+  /** Returns the pass rate estimate of a version for a task of a workspace. */
   getEstimate(
     workspace: string,
     task: string,
@@ -76,13 +76,13 @@
     return estimate;
   }
 
-  /** Hands an answer in; gives the rating if it comes within `waitMs`. */
+  /** Submits an answer; resolves to its rating if that arrives within `waitMs`. */
   async requestRating(
     sample: Omit<RatingSample, 'host'>,
     waitMs: number,
   ): Promise<boolean | undefined> {
-    const {ratingService: rating, clock, consumerId: mailbox} = this.options;
-    if (!rating) return undefined;
+    const {ratingService, clock, consumerId} = this.options;
+    if (!ratingService) return undefined;
     const {answer, ...rest} = sample;
     const result = new Promise<boolean | undefined>(resolve => {
       const timer = clock.after(waitMs, () => resolve(undefined));
@@ -97,7 +97,7 @@
       });
     });
     try {
-      await rating.submit({...rest, answer, host: mailbox});
+      await ratingService.submit({...rest, answer, host: consumerId});
     } catch (error) {
       this.pendingByRequest.delete(sample.requestId);
       this.options.ratingTracker.cancelExposure(
@@ -122,26 +122,20 @@
   }
 
   private async pollResults(): Promise<void> {
-    const {
-      ratingService: rating,
-      random,
-      clock,
-      logger,
-      longPollMs: pollMs,
-      consumerId: mailbox,
-    } = this.options;
-    if (!rating) return;
+    const {ratingService, random, clock, logger, longPollMs, consumerId} =
+      this.options;
+    if (!ratingService) return;
     const backoff = new Backoff({
       random,
-      initialMs: INITIAL_BACKOFF_MS,
+      initialMs: MIN_BACKOFF_MS,
       maxMs: MAX_BACKOFF_MS,
     });
     while (!this.stopping.signal.aborted) {
       try {
-        const results = await rating.fetchResults(
-          mailbox,
+        const results = await ratingService.fetchResults(
+          consumerId,
           this.lastPosition,
-          pollMs,
+          longPollMs,
           this.stopping.signal,
         );
         results.forEach(result => this.applyResult(result));
@@ -158,24 +152,24 @@
   private applyResult(result: RatingResult): void {
     if (result.position <= this.lastPosition) return;
     this.lastPosition = result.position;
-    const awaited = this.pendingByRequest.get(result.requestId);
-    if (!awaited) return;
+    const pending = this.pendingByRequest.get(result.requestId);
+    if (!pending) return;
     this.pendingByRequest.delete(result.requestId);
-    const {workspace, task, version} = awaited.sample;
-    const requestId = awaited.sample.requestId;
+    const {workspace, task, version} = pending.sample;
+    const requestId = pending.sample.requestId;
     this.getEstimate(workspace, task, version).addRating(
       result.good,
       this.options.clock.now(),
     );
     this.options.ratingTracker.recordRating(version, requestId, result.good);
     this.ratingsTotal.inc({version, result: result.good ? 'good' : 'bad'});
-    awaited.tell(result.good);
+    pending.tell(result.good);
   }
 
   private expirePending(): void {
-    const oldest = this.options.clock.now() - this.options.lostAfterMs;
+    const expiredBefore = this.options.clock.now() - this.options.lostAfterMs;
     for (const [key, {since}] of this.pendingByRequest) {
-      if (since > oldest) break;
+      if (since > expiredBefore) break;
       this.pendingByRequest.delete(key);
     }
   }
--- a/packages/daemon/src/ratings/ratings_plugin.ts
+++ b/packages/daemon/src/ratings/ratings_plugin.ts
@@ -9,19 +9,19 @@
 const ratingsSection = {
   name: 'ratings',
   shape: z.strictObject({
-    /** How a roll-out is judged: `sequential` tests, `open` watches nothing. */
+    /** How a rollout is evaluated: `sequential` uses sequential tests, `open` passes each step after a number of ratings, whatever they say. */
     gate: z.enum(['sequential', 'open']).default('sequential'),
-    /** How often the evidence is looked at. */
+    /** How often the ratings are evaluated. */
     interval: fields.duration('500ms'),
-    /** How long a step of a roll-out lasts at least. */
+    /** The minimum duration of a rollout step. */
     'step-least': fields.duration('10s'),
-    /** Whether stable versions are watched for turning bad. */
+    /** Whether stable versions are monitored for a drop in quality. */
     'watch-stable': fields.flag(true),
-    /** How long one read waits for a rating. */
+    /** How long one long poll waits for a rating. */
     poll: fields.duration('5s'),
-    /** A rating that did not come for this long counts as lost. */
+    /** A rating that has not arrived after this time counts as lost. */
     'lost-after': fields.duration('10m'),
-    /** After this time a rating counts half in a pass probability. */
+    /** The time after which the weight of a rating in the pass rate estimate has halved. */
     'half-life': fields.duration('30m'),
   }),
 };
@@ -39,19 +39,19 @@
     const membership = container.get(daemonTokens.membership);
     const identity = container.get(daemonTokens.hostIdentity);
     const ownState = container.get(daemonTokens.localHostState);
-    const evidence = new VersionRatingTracker({
+    const ratingTracker = new VersionRatingTracker({
       clock,
       store,
       membership,
       self: identity.id,
       lostAfterMs: section['lost-after'],
     });
-    const book = new RatingCollector({
+    const ratingCollector = new RatingCollector({
       clock,
       random,
       logger,
       metrics,
-      ratingTracker: evidence,
+      ratingTracker,
       ratingService: container.isBound(daemonTokens.ratingService)
         ? container.get(daemonTokens.ratingService)
         : undefined,
@@ -60,7 +60,7 @@
       halfLifeMs: section['half-life'],
       lostAfterMs: section['lost-after'],
     });
-    const gate = new VersionMonitor({
+    const versionMonitor = new VersionMonitor({
       clock,
       random,
       logger,
@@ -69,7 +69,7 @@
       membership,
       self: identity.id,
       submitter: container.get(daemonTokens.intentSubmitter),
-      rolloutGate:
+      versionGate:
         section.gate === 'open' ? new RatingCountGate() : new SequentialGate(),
       onHalt: () => void container.get(daemonTokens.gossip).runNow(),
       intervalMs: section.interval,
@@ -77,13 +77,15 @@
       monitorsStable: section['watch-stable'],
     });
     ownState.addContributor(() => ({
-      evidence: evidence.createSummary(),
-      suspects: gate.listSuspects(),
+      evidence: ratingTracker.createSummary(),
+      suspects: versionMonitor.listSuspects(),
     }));
-    container.bind(daemonTokens.ratingCollector).toConstantValue(book);
-    container.bind(daemonTokens.ratingTracker).toConstantValue(evidence);
-    container.bind(tokens.service).toConstantValue(book);
-    container.bind(tokens.service).toConstantValue(gate);
+    container
+      .bind(daemonTokens.ratingCollector)
+      .toConstantValue(ratingCollector);
+    container.bind(daemonTokens.ratingTracker).toConstantValue(ratingTracker);
+    container.bind(tokens.service).toConstantValue(ratingCollector);
+    container.bind(tokens.service).toConstantValue(versionMonitor);
   },
 };
 
--- a/packages/daemon/src/ratings/version_monitor.ts
+++ b/packages/daemon/src/ratings/version_monitor.ts
@@ -33,14 +33,14 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   readonly submitter: IntentSubmitter;
-  readonly rolloutGate: VersionGate;
-  /** Told when this host halted a version. */
+  readonly versionGate: VersionGate;
+  /** Called when this host halts a version. */
   readonly onHalt: () => void;
-  /** How often the evidence is looked at, in ms. */
+  /** How often the ratings are evaluated, in ms. */
   readonly intervalMs: number;
-  /** How long a step lasts at least, in ms. */
+  /** The minimum duration of a rollout step, in ms. */
   readonly minStepMs: number;
-  /** Whether stable versions are watched for turning bad. */
+  /** Whether stable versions are monitored for a drop in quality. */
   readonly monitorsStable: boolean;
 }
 
@@ -60,15 +60,15 @@
 const PLAN_TTL_MS = 60_000;
 
 /**
- * Judges versions on the evidence of all hosts. A halt takes force here and, through
- * the heartbeats, at the other hosts within seconds, and is filed for the log;
- * only an operator's intent lifts it.
+ * Evaluates versions by the ratings of all hosts. A halt takes effect on this host
+ * at once and, through the heartbeats, on the other hosts within seconds; it is also
+ * submitted to the log. Only an operator's intent lifts it.
  */
 export class VersionMonitor implements Service {
   readonly name = 'roll-out gate';
   private readonly stopping = new AbortController();
   private readonly watches = new Map<string, VersionWatch>();
-  /** Halted versions, by the revision at which they were. */
+  /** The revision at which each halted version was halted, by version. */
   private readonly haltedRevisions = new Map<string, number>();
   private readonly pendingSubmissions = new Set<string>();
   private loop: Promise<void> = Promise.resolve();
@@ -81,7 +81,7 @@
     );
   }
 
-  /** Versions that this host halted and the log does not show as halted yet. */
+  /** Lists the versions that this host has halted and the log does not yet show as halted. */
   listSuspects(): string[] {
     const {revisions} = this.options.store.current;
     return [...this.haltedRevisions]
@@ -111,38 +111,38 @@
 
   private evaluateAll(): void {
     for (const version of Object.values(this.options.store.current.versions)) {
-      const evidence = this.options.membership.sumRatings(version.id);
+      const ratings = this.options.membership.sumRatings(version.id);
       if (
-        evidence &&
-        evidence.stage ===
+        ratings &&
+        ratings.stage ===
           getVersionStage(this.options.store.current, version.id)
       )
-        this.evaluate(version, evidence);
+        this.evaluate(version, ratings);
     }
   }
 
-  private evaluate(version: Version, evidence: VersionRatings): void {
+  private evaluate(version: Version, ratings: VersionRatings): void {
     if (
       version.suspect !== undefined ||
       this.haltedRevisions.get(version.id) === this.getRevision(version)
     )
       return;
-    const watch = this.getOrCreateWatch(version.id, evidence.stage);
-    if (version.rollOut) this.evaluateRolloutStep(version, evidence, watch);
+    const watch = this.getOrCreateWatch(version.id, ratings.stage);
+    if (version.rollOut) this.evaluateRolloutStep(version, ratings, watch);
     else if (this.options.monitorsStable)
-      this.evaluateDrift(version, evidence, watch);
+      this.evaluateDrift(version, ratings, watch);
   }
 
   private evaluateRolloutStep(
     version: Version,
-    evidence: VersionRatings,
+    ratings: VersionRatings,
     watch: VersionWatch,
   ): void {
-    const verdict = this.options.rolloutGate.evaluate(
-      evidence,
+    const verdict = this.options.versionGate.evaluate(
+      ratings,
       this.computeAcceptableBadRate(version),
     );
-    if (verdict === GateVerdict.HALT) this.haltVersion(version, evidence);
+    if (verdict === GateVerdict.HALT) this.haltVersion(version, ratings);
     const stepIsOver =
       this.options.clock.now() - watch.since >= this.options.minStepMs;
     if (verdict === GateVerdict.PASS && stepIsOver) {
@@ -156,20 +156,20 @@
 
   private evaluateDrift(
     version: Version,
-    evidence: VersionRatings,
+    ratings: VersionRatings,
     watch: VersionWatch,
   ): void {
-    const good = Math.max(0, evidence.good - watch.good);
-    const bad = Math.max(0, evidence.bad - watch.bad);
-    watch.good = evidence.good;
-    watch.bad = evidence.bad;
+    const good = Math.max(0, ratings.good - watch.good);
+    const bad = Math.max(0, ratings.bad - watch.bad);
+    watch.good = ratings.good;
+    watch.bad = ratings.bad;
     if (good + bad === 0) return;
     const turnedBad = watch.drift.addRatings(
       good,
       bad,
       this.computeAcceptableBadRate(version),
     );
-    if (turnedBad) this.haltVersion(version, evidence);
+    if (turnedBad) this.haltVersion(version, ratings);
     const now = this.options.clock.now();
     for (let count = 0; count < good; count++)
       watch.longTerm.addRating(true, now);
@@ -177,7 +177,7 @@
       watch.longTerm.addRating(false, now);
   }
 
-  /** The rate of bad answers that is accepted: what the model's stable version shows, else what the tasks ask for. */
+  /** The acceptable rate of bad answers: that of the model's stable version, or else the one that the tasks' quality targets allow. */
   private computeAcceptableBadRate(version: Version): number {
     const {versions, workspaces} = this.options.store.current;
     const stable = Object.values(versions).find(
@@ -194,9 +194,9 @@
     return 1 - Math.min(1, ...targets);
   }
 
-  private haltVersion(version: Version, evidence: VersionRatings): void {
+  private haltVersion(version: Version, ratings: VersionRatings): void {
     const {logger} = this.options;
-    const text = `${evidence.bad} of ${evidence.good + evidence.bad} answers were rated bad`;
+    const text = `${ratings.bad} of ${ratings.good + ratings.bad} answers were rated bad`;
     this.haltedRevisions.set(version.id, this.getRevision(version));
     this.options.onHalt();
     logger.warn('version halted', {version: version.id, evidence: text});
@@ -207,7 +207,7 @@
     });
   }
 
-  /** Files a decision: two hosts at once, the others only if those did not. */
+  /** Submits a decision: two hosts do so right away, the others only if those did not. */
   private submitOnce(intent: Intent & {version: string}): void {
     const key = `${intent.kind} ${intent.version} ${this.options.store.current.revisions[`version/${intent.version}`]}`;
     if (this.pendingSubmissions.has(key)) return;
@@ -221,15 +221,8 @@
     intent: Intent & {version: string},
     key: string,
   ): Promise<void> {
-    const {
-      clock,
-      random,
-      store,
-      submitter: filer,
-      membership,
-      self,
-      logger,
-    } = this.options;
+    const {clock, random, store, submitter, membership, self, logger} =
+      this.options;
     const first = selectByRendezvousHash(
       membership.listAllHosts().map(host => host.id),
       key,
@@ -252,7 +245,7 @@
       lapsesAt: clock.wall() + PLAN_TTL_MS,
     });
     if (plan.isLeft()) return;
-    const verdict = await filer.submit(plan.unsafeCoerce(), `host ${self}`);
+    const verdict = await submitter.submit(plan.unsafeCoerce(), `host ${self}`);
     logger.info('decision filed', {
       kind: intent.kind,
       version: intent.version,
--- a/packages/daemon/src/ratings/version_rating_tracker.ts
+++ b/packages/daemon/src/ratings/version_rating_tracker.ts
@@ -13,7 +13,7 @@
   readonly store: ConfigurationStore;
   readonly membership: Membership;
   readonly self: string;
-  /** A rating that did not come for this long counts as lost, in ms. */
+  /** A rating that has not arrived after this time counts as lost, in ms. */
   readonly lostAfterMs: number;
 }
 
@@ -21,17 +21,17 @@
   readonly stage: string;
   good: number;
   bad: number;
-  /** When each answer without a rating was given out, by request. */
+  /** When each answer that has no rating yet was sent, by request id. */
   readonly unrated: Map<string, number>;
 }
 
-/** This host's ratings of each version, and its part of the exposure budgets. */
+/** Counts this host's ratings of each version and enforces its share of the exposure budgets. */
 export class VersionRatingTracker {
   private readonly countsByVersion = new Map<string, StageCounts>();
 
   constructor(private readonly options: Options) {}
 
-  /** Whether another answer of a version that rolls out may go out without a rating. */
+  /** Whether a version in rollout may send another answer before its earlier ones are rated. */
   hasExposureBudget(version: Version): boolean {
     if (!version.rollOut) return true;
     const {membership, self} = this.options;
@@ -52,24 +52,24 @@
     );
   }
 
-  /** The answer never came to be, so there will be no rating. */
+  /** Removes an answer that no rating will arrive for, as it was not completed or could not be submitted. */
   cancelExposure(version: string, requestId: string): void {
     this.getCurrentCounts(version).unrated.delete(requestId);
   }
 
   recordRating(version: string, requestId: string, good: boolean): void {
     const counts = this.getCurrentCounts(version);
-    const expected = counts.unrated.delete(requestId);
-    if (!expected) return;
+    const wasExposed = counts.unrated.delete(requestId);
+    if (!wasExposed) return;
     if (good) counts.good++;
     else counts.bad++;
   }
 
-  /** What the other hosts are told. */
+  /** Creates the summary that is gossiped to the other hosts. */
   createSummary(): Record<string, VersionRatings> {
     const versions = [...this.countsByVersion.keys()].map(version => {
-      const {stage, good, bad, unrated: open} = this.getCurrentCounts(version);
-      return [version, {stage, good, bad, open: open.size}] as const;
+      const {stage, good, bad, unrated} = this.getCurrentCounts(version);
+      return [version, {stage, good, bad, open: unrated.size}] as const;
     });
     return Object.fromEntries(versions);
   }
@@ -86,9 +86,9 @@
   }
 
   private expireUnrated(counts: StageCounts): void {
-    const oldest = this.options.clock.now() - this.options.lostAfterMs;
-    for (const [requestId, since] of counts.unrated) {
-      if (since > oldest) break;
+    const expiredBefore = this.options.clock.now() - this.options.lostAfterMs;
+    for (const [requestId, sentAt] of counts.unrated) {
+      if (sentAt > expiredBefore) break;
       counts.unrated.delete(requestId);
     }
   }
