--- a/packages/daemon/src/runners/attempt_result.ts
+++ b/packages/daemon/src/runners/attempt_result.ts
@@ -1,4 +1,4 @@
-/** How a dispatched request ended, as far as the runner is concerned. */
+/** The result of one attempt, as it counts for the runner's health and concurrency limit. */
 const AttemptResult = {
   OK: 'ok',
   FAILED: 'failed',
--- a/packages/daemon/src/runners/backend.ts
+++ b/packages/daemon/src/runners/backend.ts
@@ -1,4 +1,4 @@
-/** Something that work is sent to: a model engine or a plain service's runner. */
+/** A server that a pool sends requests to: a model engine or a runner of a plain service. */
 export interface Backend {
   readonly id: string;
   readonly place: string;
--- a/packages/daemon/src/runners/backend_pool.ts
+++ b/packages/daemon/src/runners/backend_pool.ts
@@ -26,23 +26,23 @@
   readonly loadBalancer: LoadBalancer;
   readonly crossingPolicy: CrossingPolicy;
   /** Whether operators or the platform took this runner out of service. */
-  readonly isDrained: (target: T) => boolean;
+  readonly isDrained: (backend: T) => boolean;
 }
 
 const ESTIMATE_WINDOW_MS = 5_000;
 const RETRY_AFTER_MS = 2_000;
 
-/** The runners of one kind, and the queue of requests that wait for a place at one. */
+/** The runners of one kind, and the queue of requests that wait for a free slot on one of them. */
 export class BackendPool<T extends Backend> {
   private readonly states = new Map<string, BackendState<T>>();
   private readonly queue: AdmissionQueue<SlotRequest, SlotReservation<T>>;
   private readonly waitEstimator: QueueWaitEstimator;
 
   constructor(private readonly options: Options<T>) {
-    const {clock, discipline: order, settings} = options;
+    const {clock, discipline, settings} = options;
     this.queue = new AdmissionQueue({
       clock,
-      discipline: order,
+      discipline,
       maxPerClass: settings.maxQueuedPerClass,
     });
     this.waitEstimator = new QueueWaitEstimator({
@@ -51,17 +51,17 @@
     });
   }
 
-  /** @param offers What the runner serves until it reports. */
-  add(target: T, offers: readonly string[]): void {
+  /** @param initialVersions What the runner serves until its first report. */
+  add(backend: T, initialVersions: readonly string[]): void {
     const {clock, random, settings} = this.options;
     this.states.set(
-      target.id,
+      backend.id,
       new BackendState({
-        backend: target,
+        backend,
         clock,
         random,
         settings,
-        initialVersions: offers,
+        initialVersions,
       }),
     );
   }
@@ -70,7 +70,7 @@
     return [...this.states.values()];
   }
 
-  /** Whether a fit runner in reach has the version. */
+  /** Whether a usable runner serves the version. */
   canServe(version: string): boolean {
     return this.listUsable(version).length > 0;
   }
@@ -79,45 +79,45 @@
     return this.queue.length;
   }
 
-  /** Requests in progress, by the runner's place. */
+  /** Counts the requests in flight by the place of their runner. */
   countRunningByPlace(): Record<string, number> {
     const running: Record<string, number> = {};
-    for (const {backend: target, inFlight} of this.states.values()) {
+    for (const {backend, inFlight} of this.states.values()) {
       if (inFlight > 0)
-        running[target.place] = (running[target.place] ?? 0) + inFlight;
+        running[backend.place] = (running[backend.place] ?? 0) + inFlight;
     }
     return running;
   }
 
-  /** Waits for a place at a fit runner. A rejection means that nothing was dispatched. */
+  /** Waits for a free slot on a usable runner. A rejection means that nothing was dispatched. */
   acquire(
-    demand: SlotRequest,
+    request: SlotRequest,
     signal: AbortSignal,
   ): Promise<SlotReservation<T>> {
-    const late = this.checkDeadline(demand);
-    if (late) return Promise.reject(late);
-    const reservation = this.queue.enqueue(demand, signal);
+    const problem = this.checkDeadline(request);
+    if (problem) return Promise.reject(problem);
+    const reservation = this.queue.enqueue(request, signal);
     this.dispatchQueued();
     return reservation;
   }
 
-  /** Offers free places to the queue; call it when something changed. */
+  /** Dispatches queued requests to free slots; must be called whenever capacity or configuration changes. */
   dispatchQueued(): void {
     const full = new Set<string>();
-    this.queue.admit(demand => {
-      const key = `${demand.version} ${demand.places.join(' ')} ${demand.allowsCrossing}`;
+    this.queue.admit(request => {
+      const key = `${request.version} ${request.places.join(' ')} ${request.allowsCrossing}`;
       if (full.has(key)) return undefined;
-      const result = demand.revalidate() ?? this.tryReserve(demand);
+      const result = request.revalidate() ?? this.tryReserve(request);
       if (result === undefined) full.add(key);
       return result;
     });
   }
 
-  private checkDeadline(demand: SlotRequest): Problem | undefined {
+  private checkDeadline(request: SlotRequest): Problem | undefined {
     const wait = this.waitEstimator.estimateWaitMs(
-      this.queue.countWaiting(demand.priority),
+      this.queue.countWaiting(request.priority),
     );
-    if (this.options.clock.now() + wait < demand.deadlineAt) return undefined;
+    if (this.options.clock.now() + wait < request.deadlineAt) return undefined;
     return new Problem({
       kind: ProblemKind.DEADLINE,
       what: 'the wait for a runner would pass the deadline',
@@ -128,74 +128,75 @@
   }
 
   private tryReserve(
-    demand: SlotRequest,
+    request: SlotRequest,
   ): SlotReservation<T> | Problem | undefined {
-    const usableStates = this.listUsable(demand.version);
-    if (usableStates.length === 0) return createNoRunnerProblem(demand.version);
+    const usableStates = this.listUsable(request.version);
+    if (usableStates.length === 0)
+      return createNoRunnerProblem(request.version);
     const inPlace =
-      demand.places
+      request.places
         .map(place =>
           usableStates.filter(state => state.backend.place === place),
         )
         .find(group => group.length > 0) ?? [];
-    const free = this.filterWithCapacity(inPlace, demand);
-    const candidates = this.mayCross(demand, inPlace, usableStates)
+    const free = this.filterWithCapacity(inPlace, request);
+    const candidates = this.mayCross(request, inPlace, usableStates)
       ? [
           ...free,
           ...this.filterWithCapacity(
             usableStates.filter(state => !inPlace.includes(state)),
-            demand,
+            request,
           ),
         ]
       : free;
-    if (inPlace.length === 0 && !demand.allowsCrossing)
-      return createNoRunnerProblem(demand.version);
+    if (inPlace.length === 0 && !request.allowsCrossing)
+      return createNoRunnerProblem(request.version);
     const chosen = this.options.loadBalancer.choose(
       candidates.map(state => state.createView()),
-      {place: demand.places[0], prefixes: demand.prefixes},
+      {place: request.places[0], prefixes: request.prefixes},
     );
-    return chosen && this.reserve(this.states.get(chosen.id)!, demand);
+    return chosen && this.reserve(this.states.get(chosen.id)!, request);
   }
 
-  /** Runners that carry the version; the ejected ones too when there would be too few left. */
+  /** Lists the runners that serve the version; includes ejected ones while too few would be left without them. */
   private listUsable(version: string): BackendState<T>[] {
-    const carrying = this.listStates().filter(
+    const serving = this.listStates().filter(
       state =>
         state.servesVersion(version) && !this.options.isDrained(state.backend),
     );
-    const fit = carrying.filter(state => state.isHealthy());
-    const least = Math.ceil(
-      carrying.length * (1 - this.options.settings.maxEjectedShare),
+    const healthy = serving.filter(state => state.isHealthy());
+    const minUsable = Math.ceil(
+      serving.length * (1 - this.options.settings.maxEjectedShare),
     );
-    if (fit.length >= least) return fit;
-    const back = carrying.filter(
+    if (healthy.length >= minUsable) return healthy;
+    const readmitted = serving.filter(
       state => !state.isHealthy() && state.health.isEjected(),
     );
-    return [...fit, ...back.slice(0, least - fit.length)];
+    return [...healthy, ...readmitted.slice(0, minUsable - healthy.length)];
   }
 
   private filterWithCapacity(
     states: readonly BackendState<T>[],
-    demand: SlotRequest,
+    request: SlotRequest,
   ): BackendState<T>[] {
     const free = states.filter(state => state.hasCapacity());
     const untried = free.filter(
-      state => !demand.avoidedIds.has(state.backend.id),
+      state => !request.avoidedIds.has(state.backend.id),
     );
     return untried.length > 0 ? untried : free;
   }
 
   private mayCross(
-    demand: SlotRequest,
+    request: SlotRequest,
     inPlace: readonly BackendState<T>[],
     usable: readonly BackendState<T>[],
   ): boolean {
-    if (!demand.allowsCrossing) return false;
+    if (!request.allowsCrossing) return false;
     const others = usable.filter(state => !inPlace.includes(state));
     return (
       others.length > 0 &&
       this.options.crossingPolicy.mayCross(
-        demand.places[0],
+        request.places[0],
         computeLoadPerSlot(inPlace),
         computeLoadPerSlot(others),
       )
@@ -204,18 +205,18 @@
 
   private reserve(
     state: BackendState<T>,
-    demand: SlotRequest,
+    request: SlotRequest,
   ): SlotReservation<T> {
     const {clock} = this.options;
     const startedAt = clock.now();
     let released = false;
     state.inFlight++;
     state.lastDispatchedAt = startedAt;
-    state.prefixes.recordSent(demand.prefixes);
+    state.prefixes.recordSent(request.prefixes);
     this.waitEstimator.recordDeparture();
     return {
       backend: state.backend,
-      isInOtherPlace: state.backend.place !== demand.places[0],
+      isInOtherPlace: state.backend.place !== request.places[0],
       release: result => {
         if (released) return;
         released = true;
--- a/packages/daemon/src/runners/backend_state.ts
+++ b/packages/daemon/src/runners/backend_state.ts
@@ -14,7 +14,7 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly settings: PoolSettings;
-  /** What it offers as long as it reports nothing. */
+  /** The versions that it serves until its first report. */
   readonly initialVersions: readonly string[];
 }
 
@@ -23,7 +23,7 @@
 const SMOOTHING_FACTOR = 0.1;
 const MAX_REPORT_FAILURES = 3;
 
-/** What this host knows of one runner, from its reports and from the own requests. */
+/** The state of one runner as this host sees it, from its reports and from this host's own requests. */
 export class BackendState<T extends Backend> {
   readonly backend: T;
   readonly health: RunnerHealth;
@@ -40,8 +40,8 @@
   private serviceMs = INITIAL_SERVICE_MS;
 
   constructor(private readonly options: Options<T>) {
-    const {clock, random, settings, backend: target} = options;
-    this.backend = target;
+    const {clock, random, settings, backend} = options;
+    this.backend = backend;
     this.versions = new Set(options.initialVersions);
     this.health = new RunnerHealth({clock, random, ...settings.health});
     this.limit = new AdaptiveConcurrencyLimit(settings.limit);
@@ -56,7 +56,7 @@
     return this.versions.has(version);
   }
 
-  /** Whether it may get work at all. */
+  /** Whether it may receive requests: its reports arrive and it is not ejected. */
   isHealthy(): boolean {
     return (
       this.consecutiveReportFailures < MAX_REPORT_FAILURES &&
@@ -85,7 +85,7 @@
     this.consecutiveReportFailures++;
   }
 
-  /** A request took this long from dispatch to its whole answer, in ms. */
+  /** Updates the mean service time: from dispatch to the complete response, in ms. */
   recordServiceTime(ms: number): void {
     this.serviceMs += SMOOTHING_FACTOR * (ms - this.serviceMs);
   }
@@ -105,7 +105,7 @@
     };
   }
 
-  /** Requests of all hosts: the last report, corrected by what this host did since, unless it is old. */
+  /** Running and waiting requests of all hosts: the last report plus the change in this host's own requests since; only the own requests once the report is too old. */
   load(): number {
     const age = this.options.clock.now() - this.reportedAt;
     if (!this.report || age > this.options.settings.maxReportAgeMs)
--- a/packages/daemon/src/runners/http_runner.ts
+++ b/packages/daemon/src/runners/http_runner.ts
@@ -18,10 +18,10 @@
 interface Options {
   readonly id: string;
   readonly place: string;
-  /** As `10.0.0.7:9000`. */
+  /** Host and port, such as `10.0.0.7:9000`. */
   readonly endpoint: string;
   readonly connectTimeoutMs: number;
-  /** No event for this long means that the answer was cut, in ms. */
+  /** A response that stays silent for this long is treated as interrupted, in ms. */
   readonly stallTimeoutMs: number;
 }
 
@@ -47,12 +47,12 @@
   }),
 );
 
-/** A model engine reached over HTTP in the OpenAI format. */
+/** A model engine that is called over HTTP in the OpenAI format. */
 export class HttpRunner implements Runner {
   readonly id: string;
   readonly place: string;
   private readonly http: Got;
-  /** Connections for answers. `got` took twice the processor time a token: see docs/HOUSE-STYLE.md. */
+  /** Connections for streamed responses. `got` took twice the CPU time per token: see docs/HOUSE-STYLE.md. */
   private readonly streamAgent: StreamAgent;
   private readonly completionsUrl: string;
 
@@ -90,8 +90,8 @@
     const decoder = new TextDecoder();
     let final: GenerateEvent | undefined;
     try {
-      for await (const piece of body) {
-        parser.feed(decoder.decode(piece as Buffer, {stream: true}));
+      for await (const chunk of body) {
+        parser.feed(decoder.decode(chunk as Buffer, {stream: true}));
         for (const event of events.splice(0)) {
           if (event.kind === 'final') final = event;
           else yield event;
@@ -102,7 +102,7 @@
     } finally {
       body.destroy();
     }
-    // Given only after the last byte, so that the connection can be used again.
+    // Yielded only after the last byte, so that the connection can be reused.
     if (final) yield final;
   }
 
@@ -116,7 +116,7 @@
     throw createStatusFailure(this.id, statusCode, undefined);
   }
 
-  /** Sends the request and gives the answer's body once the engine has accepted it. */
+  /** Sends the request and returns the response body once the engine has accepted it. */
   private async openStream(
     request: GenerateRequest,
     signal: AbortSignal,
--- a/packages/daemon/src/runners/http_service_runner.ts
+++ b/packages/daemon/src/runners/http_service_runner.ts
@@ -19,8 +19,9 @@
 }
 
 /**
- * A plain service's runner over HTTP. Every call has a connection of its own: a
- * kept one could die under a request and leave open whether it arrived.
+ * A runner of a plain service that is called over HTTP. Every call opens its own
+ * connection: a reused one can be closed while a request is being sent, which
+ * leaves it unknown whether the request arrived.
  */
 export class HttpServiceRunner implements ServiceRunner {
   readonly id: string;
--- a/packages/daemon/src/runners/is_connect_failure.ts
+++ b/packages/daemon/src/runners/is_connect_failure.ts
@@ -10,7 +10,7 @@
 ]);
 const CONNECT_TIMEOUT_EVENTS = new Set(['lookup', 'connect', 'secureConnect']);
 
-/** Whether a request failed before its connection stood, so that no byte of it went out. */
+/** Whether a request failed before its connection was established, so no byte of it was sent. */
 export function isConnectFailure(error: unknown): boolean {
   if (error instanceof TimeoutError)
     return CONNECT_TIMEOUT_EVENTS.has(error.event);
--- a/packages/daemon/src/runners/parse_engine_chunk.ts
+++ b/packages/daemon/src/runners/parse_engine_chunk.ts
@@ -17,7 +17,7 @@
     .nullish(),
 });
 
-/** Reads one data line of an engine's stream. A line that is not of the format fails the attempt. */
+/** Parses one data line of an engine's event stream. A malformed line fails the attempt. */
 export function parseEngineChunk(data: string): GenerateEvent[] {
   const parsed = chunkSchema.safeParse(parseJson(data));
   if (!parsed.success)
--- a/packages/daemon/src/runners/pool_settings.ts
+++ b/packages/daemon/src/runners/pool_settings.ts
@@ -1,12 +1,12 @@
-/** Bounds of a pool. Times are in ms. */
+/** Limits and timeouts of a pool. Durations are in ms. */
 export interface PoolSettings {
-  /** Requests that a runner is taken to serve at once while it does not say. */
+  /** Assumed number of concurrent requests of a runner that has not reported its slots. */
   readonly defaultSlots: number;
-  /** An older report is not used. */
+  /** Older load reports are ignored. */
   readonly maxReportAgeMs: number;
-  /** Requests of one class that may wait. */
+  /** How many requests of one priority class may be queued. */
   readonly maxQueuedPerClass: number;
-  /** No more than this part of the runners of a place is kept out by ejection. */
+  /** The largest share of the runners of one version that may be ejected at once. */
   readonly maxEjectedShare: number;
   readonly health: {
     readonly maxFailures: number;
--- a/packages/daemon/src/runners/read_pool_settings.ts
+++ b/packages/daemon/src/runners/read_pool_settings.ts
@@ -4,7 +4,7 @@
 
 const MIN_LIMIT = 1;
 
-/** Reads a pool's bounds from `[routing]`. */
+/** Derives the settings of a pool from the section `[routing]`. */
 export function readPoolSettings(
   routing: z.output<typeof runnerSections.routing.shape>,
 ): PoolSettings {
--- a/packages/daemon/src/runners/runner_poller.ts
+++ b/packages/daemon/src/runners/runner_poller.ts
@@ -17,9 +17,9 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly pool: RunnerPool;
-  /** How often each runner is asked, in ms, as far as the budget allows. */
+  /** How often each runner is polled, in ms, as far as the poll budget allows. */
   readonly intervalMs: number;
-  /** Polls a second over all runners; with more runners each is asked less often. */
+  /** The poll budget in polls per second over all runners; with more runners each is polled less often. */
   readonly maxPollsPerSecond: number;
   readonly timeoutMs: number;
 }
@@ -28,7 +28,7 @@
 const IN_USE_WINDOW_MS = 10_000;
 const IDLE_INTERVAL_FACTOR = 6;
 
-/** Asks the engines for their load and cache events, at a bounded cost. */
+/** Polls the engines for their load reports and cache events, at a bounded rate. */
 export class RunnerPoller implements Service {
   readonly name = 'runner poller';
   private readonly stopping = new AbortController();
@@ -62,19 +62,14 @@
     }
   }
 
-  /** A runner that this host does not use is asked less often; all together keep to the budget. */
+  /** Runners that this host does not use are polled less often; all polls together stay within the budget. */
   private computeIntervalMs(state: BackendState<Runner>): number {
-    const {
-      clock,
-      intervalMs,
-      maxPollsPerSecond: pollsPerSecond,
-      pool,
-    } = this.options;
+    const {clock, intervalMs, maxPollsPerSecond, pool} = this.options;
     const isInUse = clock.now() - state.lastDispatchedAt < IN_USE_WINDOW_MS;
     const wanted = isInUse ? intervalMs : intervalMs * IDLE_INTERVAL_FACTOR;
     return Math.max(
       wanted,
-      (pool.listStates().length / pollsPerSecond) * SECOND_MS,
+      (pool.listStates().length / maxPollsPerSecond) * SECOND_MS,
     );
   }
 
--- a/packages/daemon/src/runners/runner_pool.ts
+++ b/packages/daemon/src/runners/runner_pool.ts
@@ -1,5 +1,5 @@
 import type {Runner} from '@bayspool/decisions';
 import {BackendPool} from './backend_pool.js';
 
-/** The model engines that this host may use. */
+/** The pool of model engines that this host sends requests to. */
 export class RunnerPool extends BackendPool<Runner> {}
--- a/packages/daemon/src/runners/runner_sections.ts
+++ b/packages/daemon/src/runners/runner_sections.ts
@@ -1,16 +1,16 @@
 import {fields} from '@bayspool/kernel';
 import {z} from 'zod';
 
-/** Sections that name the runners in reach, and how to use them. */
+/** The settings sections that list the reachable runners and configure routing to them. */
 export const runnerSections = {
   /** `[runner geo-1]`: a model engine. */
   runner: {
     name: 'runner',
     named: true,
     shape: z.strictObject({
-      /** Where it stands. */
+      /** The place that it runs in. */
       place: z.string().min(1, 'needs the name of a place'),
-      /** Its IP number and port. */
+      /** Its IP address and port. */
       address: fields.endpoint(),
     }),
   },
@@ -19,15 +19,15 @@
     name: 'embedded-runner',
     named: true,
     shape: z.strictObject({
-      /** Where it stands. */
+      /** The place that it runs in. */
       place: z.string().min(1, 'needs the name of a place'),
-      /** Versions loaded at the start, separated by commas. */
+      /** Versions that are loaded at startup, separated by commas. */
       versions: fields.list(''),
-      /** Requests generated at once. */
+      /** How many requests it generates concurrently. */
       slots: fields.number(16),
-      /** Time of one step of the batch. */
+      /** Duration of one step of the batch. */
       step: fields.duration('8ms'),
-      /** Time for a thousand prompt tokens. */
+      /** Prefill time for a thousand prompt tokens. */
       prefill: fields.duration('60ms'),
       /** Time to load weights. */
       'load-time': fields.duration('2s'),
@@ -40,9 +40,9 @@
     shape: z.strictObject({
       /** The service that it runs. */
       service: z.string().min(1, 'needs the name of a service'),
-      /** Where it stands. */
+      /** The place that it runs in. */
       place: z.string().min(1, 'needs the name of a place'),
-      /** Its IP number and port. */
+      /** Its IP address and port. */
       address: fields.endpoint(),
     }),
   },
@@ -53,56 +53,56 @@
     shape: z.strictObject({
       /** The service that it runs. */
       service: z.string().min(1, 'needs the name of a service'),
-      /** Where it stands. */
+      /** The place that it runs in. */
       place: z.string().min(1, 'needs the name of a place'),
     }),
   },
   routing: {
     name: 'routing',
     shape: z.strictObject({
-      /** How a runner is chosen. */
+      /** The load balancing policy. */
       choice: z
         .enum(['predicted-wait', 'round-robin'])
         .default('predicted-wait'),
-      /** Who goes first when all runners are busy. */
+      /** The queue discipline when all runners are busy. */
       order: z.enum(['fair', 'first-come']).default('fair'),
-      /** Requests of one class that may wait at this host. */
+      /** How many requests of one priority class may be queued on this host. */
       queue: fields.number(1_000),
-      /** Requests of this host at one runner, to begin with. */
+      /** Initial concurrency limit of this host on one runner. */
       'limit-initial': fields.number(16),
-      /** The same at most. */
+      /** Highest concurrency limit of this host on one runner. */
       'limit-most': fields.number(256),
-      /** Failures in a row that eject a runner. */
+      /** Consecutive failures after which a runner is ejected. */
       'eject-after': fields.number(3),
-      /** For how long at first; doubled each time. */
+      /** Duration of the first ejection; it doubles with each further one. */
       'eject-for': fields.duration('2s'),
-      /** For how long at most. */
+      /** Longest duration of an ejection. */
       'eject-for-most': fields.duration('60s'),
-      /** The part of the runners that may be ejected at once. */
+      /** The largest share of the runners that may be ejected at once. */
       'ejected-part-most': fields.number(0.5),
-      /** How long a runner that returns takes to get its full share. */
+      /** How long a runner takes to reach its full share after an ejection. */
       'slow-start': fields.duration('10s'),
-      /** How often a runner in use is asked for its load; others six times less often. */
+      /** How often a runner in use is polled for its load; others are polled six times less often. */
       'poll-interval': fields.duration('500ms'),
-      /** Polls a second over all runners; above it each is asked less often. */
+      /** Polls per second over all runners; with more runners each is polled less often. */
       'polls-per-second': fields.number(16),
-      /** An older load report is not used. */
+      /** Older load reports are ignored. */
       'report-max-age': fields.duration('5s'),
-      /** How long a connection to a runner may take. */
+      /** Timeout for connecting to a runner. */
       'connect-timeout': fields.duration('1s'),
-      /** No byte for this long means that an answer was cut. */
+      /** A response that stays silent for this long is treated as interrupted. */
       stall: fields.duration('10s'),
-      /** What a crossing between places costs in the choice. */
+      /** The cost of sending a request to another place, added to its score in load balancing. */
       'crossing-cost': fields.duration('5ms'),
-      /** Load over slots at home above which crossing begins. */
+      /** Load per slot in the home place above which requests start to cross to other places. */
       'crossing-enter': fields.number(1.2),
-      /** Load over slots at home below which it ends. */
+      /** Load per slot in the home place below which crossing stops. */
       'crossing-leave': fields.number(0.8),
-      /** Load over slots that crossing work may not push the other place above. */
+      /** Load per slot above which the other place accepts no crossing requests. */
       'crossing-cap': fields.number(0.8),
-      /** How long a cached prefix is believed. */
+      /** How long a prefix is assumed to stay in the cache of a runner. */
       'prefix-max-age': fields.duration('5m'),
-      /** Prefixes remembered a runner. */
+      /** How many prefixes are remembered per runner. */
       'prefixes-most': fields.number(2_048),
     }),
   },
--- a/packages/daemon/src/runners/runners_plugin.ts
+++ b/packages/daemon/src/runners/runners_plugin.ts
@@ -51,34 +51,33 @@
         maxTargetLoad: routing['crossing-cap'],
       }),
     });
-    const pool = new RunnerPool(common());
-    const services = new ServiceRunnerPool(common());
+    const runnerPool = new RunnerPool(common());
+    const serviceRunnerPool = new ServiceRunnerPool(common());
     if (container.isBound(daemonTokens.runner))
       container
         .getAll(daemonTokens.runner)
-        .forEach(runner => pool.add(runner, []));
+        .forEach(runner => runnerPool.add(runner, []));
     if (container.isBound(daemonTokens.serviceRunner)) {
       container
         .getAll(daemonTokens.serviceRunner)
-        .forEach(service => services.add(service, [service.service]));
+        .forEach(service => serviceRunnerPool.add(service, [service.service]));
     }
     store.subscribe(() => {
-      pool.dispatchQueued();
-      services.dispatchQueued();
+      runnerPool.dispatchQueued();
+      serviceRunnerPool.dispatchQueued();
     });
     container
       .get(daemonTokens.localHostState)
-      .addContributor(() => ({running: pool.countRunningByPlace()}));
+      .addContributor(() => ({running: runnerPool.countRunningByPlace()}));
     metrics.observeEach(
       'runner_requests_in_flight',
       'Requests of this host at each runner.',
       'runner',
       () =>
         Object.fromEntries(
-          [...pool.listStates(), ...services.listStates()].map(state => [
-            state.backend.id,
-            state.inFlight,
-          ]),
+          [...runnerPool.listStates(), ...serviceRunnerPool.listStates()].map(
+            state => [state.backend.id, state.inFlight],
+          ),
         ),
     );
     metrics.observeEach(
@@ -86,17 +85,19 @@
       'Requests that wait for a runner.',
       'pool',
       () => ({
-        engines: pool.queueLength,
-        services: services.queueLength,
+        engines: runnerPool.queueLength,
+        services: serviceRunnerPool.queueLength,
       }),
     );
-    container.bind(daemonTokens.runnerPool).toConstantValue(pool);
-    container.bind(daemonTokens.serviceRunnerPool).toConstantValue(services);
+    container.bind(daemonTokens.runnerPool).toConstantValue(runnerPool);
+    container
+      .bind(daemonTokens.serviceRunnerPool)
+      .toConstantValue(serviceRunnerPool);
     container.bind(tokens.service).toConstantValue(
       new RunnerPoller({
         clock,
         random,
-        pool,
+        pool: runnerPool,
         logger: container.get(tokens.logger),
         intervalMs: routing['poll-interval'],
         maxPollsPerSecond: routing['polls-per-second'],
--- a/packages/daemon/src/runners/service_runner_pool.ts
+++ b/packages/daemon/src/runners/service_runner_pool.ts
@@ -1,5 +1,5 @@
 import type {ServiceRunner} from '@bayspool/decisions';
 import {BackendPool} from './backend_pool.js';
 
-/** The plain services' runners that this host may use. */
+/** The pool of runners of plain services that this host sends requests to. */
 export class ServiceRunnerPool extends BackendPool<ServiceRunner> {}
