--- a/packages/daemon/src/callers/admission_controller.ts
+++ b/packages/daemon/src/callers/admission_controller.ts
@@ -23,13 +23,13 @@
 const MAX_KEY_LENGTH = 1_024;
 const RETRY_AFTER_MS = 1_000;
 
-/** Admits callers' requests: who it is, whether this host takes work, the limit, the key. Knows no HTTP server. */
+/** Admits requests: checks that this host accepts work, the caller's API key, its rate limit and its idempotency key. Independent of the HTTP server. */
 export class AdmissionController {
   constructor(private readonly options: Options) {}
 
-  /** Answers a request, or throws what its caller is to be told. */
+  /** Handles a request; throws the problem to report to the caller. */
   async handle(raw: RawCall): Promise<CallResponse> {
-    const {store, leaving, rateLimiter: limits} = this.options;
+    const {store, leaving, rateLimiter} = this.options;
     if (!store.isReady) throw createNotReadyProblem();
     if (leaving.rejectsNewWork()) throw createDrainingProblem();
     const workspace = authenticateCaller(
@@ -44,8 +44,8 @@
     const [path] = raw.path.split('?');
     if (path === '/v1/models' && raw.method === 'GET')
       return createJsonResponse(createModelsList(store.current, workspace.id));
-    const over = limits.admit(workspace.id);
-    if (over) throw over;
+    const rateLimited = rateLimiter.admit(workspace.id);
+    if (rateLimited) throw rateLimited;
     if (path === '/v1/tickets' && raw.method === 'POST')
       return this.issueTicket(workspace.id);
     const call = createCall(raw, workspace.id);
--- a/packages/daemon/src/callers/authenticate_caller.ts
+++ b/packages/daemon/src/callers/authenticate_caller.ts
@@ -9,7 +9,7 @@
 
 const BEARER_PREFIX = 'Bearer ';
 
-/** Finds the workspace whose key was sent. All keys are compared, each in constant time. */
+/** Finds the workspace that the key in the header belongs to. Every key is compared, each in constant time. */
 export function authenticateCaller(
   config: Configuration,
   authorization: string | undefined,
--- a/packages/daemon/src/callers/authenticated_call.ts
+++ b/packages/daemon/src/callers/authenticated_call.ts
@@ -1,6 +1,6 @@
 import type {Context} from '@opentelemetry/api';
 
-/** One request of a caller, checked as far as all requests are: who, until when, and the raw content. */
+/** A request of an authenticated caller: its workspace, its deadline and the raw content. */
 export interface AuthenticatedCall {
   readonly id: string;
   readonly workspace: string;
@@ -9,11 +9,11 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
-  /** The caller's own bound in ms from now, if it named one. */
+  /** The deadline in ms from now, if the caller set one. */
   readonly deadlineMs: number | undefined;
-  /** The id under which the request is billed: the call's own, or the ticket's or key's. */
+  /** The id that the request is billed under: its own, or that of its ticket or key. */
   readonly billId: string;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal;
   readonly trace: Context;
 }
--- a/packages/daemon/src/callers/call_dispatcher.ts
+++ b/packages/daemon/src/callers/call_dispatcher.ts
@@ -15,7 +15,7 @@
 const COMPLETIONS_PATH = '/v1/chat/completions';
 const SERVICES_PREFIX = '/services/';
 
-/** Sends a checked call to the domain that answers it. */
+/** Dispatches an authenticated call to the completion handler or the service handler. */
 export class CallDispatcher {
   constructor(private readonly options: Options) {}
 
@@ -30,7 +30,7 @@
     return this.options.completionHandler.handle(call);
   }
 
-  /** Whether the call must not be sent to a runner twice. */
+  /** Whether the call may be sent to a runner at most once. */
   isAtMostOnce(call: AuthenticatedCall): boolean {
     return (
       isServiceCall(call) && this.options.serviceHandler.isAtMostOnce(call)
--- a/packages/daemon/src/callers/call_response.ts
+++ b/packages/daemon/src/callers/call_response.ts
@@ -1,4 +1,4 @@
-/** What a caller gets. A body that is not a buffer is passed on as it comes. */
+/** The response to a call. A body that is not a buffer is streamed to the caller. */
 export interface CallResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
--- a/packages/daemon/src/callers/caller_headers.ts
+++ b/packages/daemon/src/callers/caller_headers.ts
@@ -1,4 +1,4 @@
-/** Headers between callers and the door, in lower case. */
+/** Headers of requests from and responses to callers, in lower case. */
 export const callerHeaders = {
   authorization: 'authorization',
   idempotencyKey: 'idempotency-key',
@@ -8,7 +8,7 @@
   requestId: 'bayspool-request-id',
   outcome: 'bayspool-outcome',
   version: 'bayspool-version',
-  /** Understood by callers' stock clients: whether they may repeat the request by themselves. */
+  /** Tells standard OpenAI clients whether they may retry the request by themselves. */
   shouldRetry: 'x-should-retry',
   retryAfter: 'retry-after',
 } as const;
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -32,17 +32,17 @@
   readonly store: ConfigurationStore;
   readonly leaving: LeavingState;
   readonly admissionController: AdmissionController;
-  /** The largest body that is read, in bytes. */
+  /** The largest accepted body, in bytes. */
   readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
   readonly maxConnections: number;
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
-  /** How long a stop waits for running requests, in ms. */
+  /** How long a shutdown waits for running requests, in ms. */
   readonly drainTimeoutMs: number;
 }
 
-/** Where callers come in. */
+/** The HTTP server for callers. */
 export class CallerServer implements Service {
   readonly name = 'caller door';
   private readonly server: HttpServer;
@@ -87,12 +87,12 @@
     });
   }
 
-  /** Lets running requests finish; new connections are refused at once. */
+  /** Waits for running requests to finish; new connections are rejected at once. */
   async stop(): Promise<void> {
-    const {clock, drainTimeoutMs: drainMs, logger} = this.options;
+    const {clock, drainTimeoutMs, logger} = this.options;
     const stopped = this.server.stop();
     const late = new AbortController();
-    const bound = sleep(clock, drainMs, late.signal).then(() => 'late');
+    const bound = sleep(clock, drainTimeoutMs, late.signal).then(() => 'late');
     const first = await Promise.race([stopped, bound]);
     late.abort();
     if (first !== 'late') return;
@@ -209,7 +209,7 @@
   };
 }
 
-/** A closed set of names for metrics. */
+/** Maps a path to one of a fixed set of metric labels. */
 function classifyPath(path: string): string {
   if (path === '/v1/chat/completions') return 'completion';
   if (path === '/v1/models') return 'models';
@@ -236,7 +236,7 @@
   });
 }
 
-/** The answer to bytes that are not a request: written by hand, since there is no response object. */
+/** Formats the response to bytes that are not a valid request; there is no response object to write to. */
 function formatRawErrorResponse(error: NodeJS.ErrnoException): string {
   const tooLarge = error.code === 'HPE_HEADER_OVERFLOW';
   const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
--- a/packages/daemon/src/callers/callers_plugin.ts
+++ b/packages/daemon/src/callers/callers_plugin.ts
@@ -32,55 +32,55 @@
   callers: {
     name: 'callers',
     shape: z.strictObject({
-      /** The address that the balancer passes callers to. */
+      /** The address that the load balancer forwards callers to. */
       listen: fields.endpoint(),
-      /** The largest body that is read. */
+      /** The largest accepted body. */
       'body-limit': fields.size('4MiB'),
-      /** The largest headers that are read. */
+      /** The largest accepted size of the headers. */
       'header-limit': fields.size('16KiB'),
-      /** Connections at once; more are refused. */
+      /** How many connections may be open; further ones are rejected. */
       connections: fields.number(10_000),
-      /** Within which the headers must have come. */
+      /** Timeout for receiving the headers. */
       'headers-timeout': fields.duration('10s'),
-      /** Within which the whole request must have come. */
+      /** Timeout for receiving the complete request. */
       'request-timeout': fields.duration('30s'),
-      /** How long a stop waits for running requests. */
+      /** How long a shutdown waits for running requests. */
       drain: fields.duration('10m'),
-      /** Attempts at runners for one request at most. */
+      /** The maximum number of attempts at runners for one request. */
       attempts: fields.number(4),
-      /** Used for plain services where the caller names no deadline. */
+      /** The deadline of calls to plain services where the caller sets none. */
       'service-deadline': fields.duration('30s'),
-      /** A plain service's answer up to this size is collected before it is passed on. */
+      /** Responses of plain services up to this size are buffered before they are forwarded. */
       'service-collect': fields.size('1MiB'),
     }),
   },
   cascade: {
     name: 'cascade',
     shape: z.strictObject({
-      /** Which models try a request: `learned`, or one of the baselines. */
+      /** The cascade policy: `learned`, or one of the baselines. */
       policy: z
         .enum(['learned', 'strong-only', 'cheap-only'])
         .default('learned'),
-      /** How long a held answer waits for its rating. */
+      /** How long an answer is held back for its rating. */
       'rating-wait': fields.duration('2s'),
-      /** The part of answers handed in for rating when nothing asks for it, 0 to 1. */
+      /** The fraction of answers that are sampled for rating when no rating is required, 0 to 1. */
       'rating-sample': fields.number(0.1),
     }),
   },
   tickets: {
     name: 'tickets',
     shape: z.strictObject({
-      /** How long a ticket may be used. */
+      /** How long a ticket is valid. */
       life: fields.duration('10m'),
-      /** How long the answer to a key is kept. */
+      /** How long the response to a key is kept. */
       keep: fields.duration('15m'),
-      /** The bytes that kept answers may hold together. */
+      /** The total size of the responses that are kept. */
       memory: fields.size('64MiB'),
-      /** How long a caller's own key stays claimed; shorter than the log's retention. */
+      /** How long a claim on a caller's own key lasts; must be shorter than the log's retention. */
       window: fields.duration('6h'),
-      /** How long a claim may take until it is read back. */
+      /** Timeout for appending a claim and reading it back. */
       'claim-timeout': fields.duration('5s'),
-      /** How long one read of the claims waits. */
+      /** How long one long poll of the claims waits. */
       'claim-poll': fields.duration('5s'),
     }),
   },
@@ -99,13 +99,13 @@
     const metrics = container.get(tokens.metrics);
     const tracing = container.get(tokens.tracing);
     const identity = container.get(daemonTokens.hostIdentity);
-    const seals = container.get(daemonTokens.sealers);
+    const sealers = container.get(daemonTokens.sealers);
     const store = container.get(daemonTokens.configurationStore);
     const membership = container.get(daemonTokens.membership);
-    const bills = container.get(daemonTokens.billRecorder);
+    const billRecorder = container.get(daemonTokens.billRecorder);
     const client = container.get(daemonTokens.peerClient);
     const methods = container.get(daemonTokens.peerMethods);
-    const staleness = container.get(daemonTokens.stalenessGuard);
+    const stalenessGuard = container.get(daemonTokens.stalenessGuard);
     const legRunner = new CascadeLegRunner({
       clock,
       random,
@@ -114,7 +114,7 @@
       tracing,
       store,
       membership,
-      stalenessGuard: staleness,
+      stalenessGuard,
       pool: container.get(daemonTokens.runnerPool),
       maxAttempts: callers.attempts,
     });
@@ -124,31 +124,31 @@
       tracing,
       store,
       membership,
-      stalenessGuard: staleness,
+      stalenessGuard,
       pool: container.get(daemonTokens.runnerPool),
       legRunner,
-      billRecorder: bills,
+      billRecorder,
       cascadePolicy: createCascadePolicy(cascade.policy, random),
       completionTimes: new CompletionTimeEstimator(),
       ratingCollector: container.get(daemonTokens.ratingCollector),
       ratingTracker: container.get(daemonTokens.ratingTracker),
-      sessionSealer: seals.sessions,
+      sessionSealer: sealers.sessions,
       ratingWaitMs: cascade['rating-wait'],
       ratingSampleRate: cascade['rating-sample'],
     });
-    const completions = new CompletionHandler({
+    const completionHandler = new CompletionHandler({
       clock,
       store,
-      sessionSealer: seals.sessions,
-      completionService: completionService,
+      sessionSealer: sealers.sessions,
+      completionService,
     });
-    const services = new ServiceCallHandler({
+    const serviceHandler = new ServiceCallHandler({
       clock,
       random,
       logger,
       tracing,
       store,
-      billRecorder: bills,
+      billRecorder,
       pool: container.get(daemonTokens.serviceRunnerPool),
       maxAttempts: callers.attempts,
       maxBufferedBytes: callers['service-collect'],
@@ -157,16 +157,16 @@
     const dispatcher = new CallDispatcher({
       clock,
       store,
-      completionHandler: completions,
-      serviceHandler: services,
+      completionHandler,
+      serviceHandler,
     });
-    const home = new KeyedCallRunner({
+    const callRunner = new KeyedCallRunner({
       clock,
       dispatcher,
       retentionMs: tickets.keep,
       maxCacheBytes: tickets.memory,
     });
-    const createKeeper = (place: string) =>
+    const createClaimLog = (place: string) =>
       new ClaimLog({
         clock,
         random,
@@ -174,17 +174,17 @@
         identity,
         place,
         log: container.get(daemonTokens.log),
-        sealer: seals.records,
+        sealer: sealers.records,
         claimTtlMs: tickets.window,
         longPollMs: tickets['claim-poll'],
         claimTimeoutMs: tickets['claim-timeout'],
       });
-    const claims = createKeeper(identity.place);
-    const vacantClaims = new VacantPlaceClaims({createClaimLog: createKeeper});
+    const claimLog = createClaimLog(identity.place);
+    const vacantPlaceClaims = new VacantPlaceClaims({createClaimLog});
     metrics.observe(
       'claims_kept',
       "Callers' own keys that are claimed in this place.",
-      () => claims.size,
+      () => claimLog.size,
     );
     const successors = new SuccessorRegistry({
       logger,
@@ -192,9 +192,9 @@
       membership,
       client,
       methods,
-      cache: home.cache,
+      cache: callRunner.cache,
     });
-    const keyed = new KeyedCallRouter({
+    const keyedCallRouter = new KeyedCallRouter({
       clock,
       logger,
       tracing,
@@ -203,31 +203,33 @@
       membership,
       client,
       methods,
-      callRunner: home,
+      callRunner,
       keyClaimer: new KeyClaimer({
         identity,
         membership,
         client,
-        callRunner: home,
-        claimLog: claims,
-        vacantPlaceClaims: vacantClaims,
+        callRunner,
+        claimLog,
+        vacantPlaceClaims,
       }),
       successors,
       dispatcher,
-      ticketSealer: seals.tickets,
+      ticketSealer: sealers.tickets,
       ticketTtlMs: tickets.life,
       defaultForwardTimeoutMs: callers['service-deadline'],
     });
-    const desk = new AdmissionController({
+    const admissionController = new AdmissionController({
       store,
       dispatcher,
-      keyedCallRouter: keyed,
+      keyedCallRouter,
       leaving: container.get(daemonTokens.leavingState),
-      rateLimiter: container.get(daemonTokens.workspaceLimits),
+      rateLimiter: container.get(daemonTokens.workspaceRateLimiter),
     });
-    container.bind(daemonTokens.admissionController).toConstantValue(desk);
-    const door = new CallerServer({
-      admissionController: desk,
+    container
+      .bind(daemonTokens.admissionController)
+      .toConstantValue(admissionController);
+    const server = new CallerServer({
+      admissionController,
       clock,
       logger,
       metrics,
@@ -242,7 +244,12 @@
       requestTimeoutMs: callers['request-timeout'],
       drainTimeoutMs: callers.drain,
     });
-    for (const service of [claims, vacantClaims, keyed, door])
+    for (const service of [
+      claimLog,
+      vacantPlaceClaims,
+      keyedCallRouter,
+      server,
+    ])
       container.bind(tokens.service).toConstantValue(service);
   },
 };
--- a/packages/daemon/src/callers/completions/cascade_leg.ts
+++ b/packages/daemon/src/callers/completions/cascade_leg.ts
@@ -1,13 +1,13 @@
 import type {Usage, Version} from '@bayspool/decisions';
 
-/** One model's try at a request, and what it came to so far. */
+/** One leg of a cascade: a model's try at a request, and the answer so far. */
 export interface CascadeLeg {
   readonly version: Version;
-  /** The id by which the leg is rated. */
+  /** The id under which the answer of the leg is rated. */
   readonly ratingId: string;
   text: string;
   tokens: number;
   usage: Usage | undefined;
-  /** Whether a runner can have begun any of its attempts. */
+  /** Whether a runner may have started any of its attempts. */
   mayHaveRun: boolean;
 }
--- a/packages/daemon/src/callers/completions/cascade_leg_runner.ts
+++ b/packages/daemon/src/callers/completions/cascade_leg_runner.ts
@@ -43,17 +43,17 @@
   readonly membership: Membership;
   readonly pool: RunnerPool;
   readonly stalenessGuard: StalenessGuard;
-  /** Attempts at one leg at most, the first included. */
+  /** The maximum number of attempts at one leg, including the first. */
   readonly maxAttempts: number;
 }
 
-const INITIAL_BACKOFF_MS = 20;
+const MIN_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 500;
 
 /**
- * Runs one leg: waits for a runner, passes its tokens on, and when an attempt
- * fails goes on from the last token at the same version, within the retry budget
- * and the deadline. Each token is passed on once and in order.
+ * Runs one leg: waits for a runner and relays its tokens. When an attempt fails, it
+ * resumes after the last token with the same version, within the retry budget and
+ * the deadline. Each token is relayed once and in order.
  */
 export class CascadeLegRunner {
   private readonly retryBudget = new RetryBudget();
@@ -72,23 +72,23 @@
     leg: CascadeLeg,
   ): AsyncGenerator<CompletionEvent> {
     const {clock, random} = this.options;
-    const avoid = new Set<string>();
+    const failedIds = new Set<string>();
     const backoff = new Backoff({
       random,
-      initialMs: INITIAL_BACKOFF_MS,
+      initialMs: MIN_BACKOFF_MS,
       maxMs: MAX_BACKOFF_MS,
     });
     const prefixes = hashPromptPrefixes(leg.version.id, request.prompt);
     this.retryBudget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
-      const grant = await this.acquireWithFreshConfiguration(
+      const reservation = await this.acquireWithFreshConfiguration(
         request,
         leg,
         prefixes,
-        avoid,
+        failedIds,
       );
       const span = this.options.tracing.start('attempt', request.trace, {
-        runner: grant.backend.id,
+        runner: reservation.backend.id,
         version: leg.version.id,
         attempt,
       });
@@ -96,7 +96,7 @@
         yield* this.attempt(
           request,
           leg,
-          grant,
+          reservation,
           prefixes,
           this.options.tracing.under(span, request.trace),
         );
@@ -107,12 +107,12 @@
         const failure = legFailures.toRunnerFailure(error);
         this.options.logger.info('attempt failed', {
           requestId: request.id,
-          runner: grant.backend.id,
+          runner: reservation.backend.id,
           error: failure.message,
         });
         if (!this.mayRetry(request, failure, attempt))
           throw legFailures.createFinalFailure(failure, leg);
-        avoid.add(grant.backend.id);
+        failedIds.add(reservation.backend.id);
       } finally {
         span.end();
       }
@@ -120,19 +120,19 @@
     }
   }
 
-  /** Acquires a runner; when the configuration has become old meanwhile, it is refreshed and asked again. */
+  /** Acquires a runner; if the configuration became stale during the wait, refreshes it and checks the request again. */
   private async acquireWithFreshConfiguration(
     request: CompletionRequest,
     leg: CascadeLeg,
     prefixes: readonly string[],
-    avoid: ReadonlySet<string>,
+    failedIds: ReadonlySet<string>,
   ): Promise<SlotReservation<Runner>> {
-    const grant = await this.acquire(request, leg, prefixes, avoid);
-    if (!this.options.stalenessGuard.isStale()) return grant;
+    const reservation = await this.acquire(request, leg, prefixes, failedIds);
+    if (!this.options.stalenessGuard.isStale()) return reservation;
     await this.options.stalenessGuard.refreshIfStale();
     const problem = this.revalidate(request, leg);
-    if (!problem) return grant;
-    grant.release(AttemptResult.CANCELLED);
+    if (!problem) return reservation;
+    reservation.release(AttemptResult.CANCELLED);
     throw leg.mayHaveRun
       ? new RequestFailure(problem, Outcome.UNKNOWN)
       : problem;
@@ -142,7 +142,7 @@
     request: CompletionRequest,
     leg: CascadeLeg,
     prefixes: readonly string[],
-    avoid: ReadonlySet<string>,
+    failedIds: ReadonlySet<string>,
   ): Promise<SlotReservation<Runner>> {
     const {store} = this.options;
     const {workspace} = request;
@@ -162,7 +162,7 @@
           ],
           allowsCrossing: workspace.crossing,
           prefixes,
-          avoidedIds: avoid,
+          avoidedIds: failedIds,
           revalidate: () => this.revalidate(request, leg),
         },
         request.signal,
@@ -176,7 +176,7 @@
     }
   }
 
-  /** Whether the version may still have new work for this request: asked at the moment of dispatch. */
+  /** Checks right before dispatch that the version may still serve this request. */
   private revalidate(
     request: CompletionRequest,
     leg: CascadeLeg,
@@ -201,7 +201,7 @@
   private async *attempt(
     request: CompletionRequest,
     leg: CascadeLeg,
-    grant: SlotReservation<Runner>,
+    reservation: SlotReservation<Runner>,
     prefixes: readonly string[],
     trace: Context,
   ): AsyncGenerator<CompletionEvent> {
@@ -209,7 +209,7 @@
     const mayHaveRunBefore = leg.mayHaveRun;
     leg.mayHaveRun = true;
     try {
-      const events = grant.backend.generate(
+      const events = reservation.backend.generate(
         {
           requestId: request.id,
           version: leg.version.id,
@@ -234,7 +234,7 @@
       if (!failure.mayHaveRun) leg.mayHaveRun = mayHaveRunBefore;
       throw failure;
     } finally {
-      grant.release(result);
+      reservation.release(result);
       this.attemptsTotal.inc({result});
     }
   }
--- a/packages/daemon/src/callers/completions/cascade_planner.ts
+++ b/packages/daemon/src/callers/completions/cascade_planner.ts
@@ -31,15 +31,15 @@
   readonly completionTimes: CompletionTimeEstimator;
   readonly ratingCollector: RatingCollector;
   readonly ratingTracker: VersionRatingTracker;
-  /** How long a held answer waits for its rating, in ms. */
+  /** How long an answer is held back for its rating, in ms. */
   readonly ratingWaitMs: number;
 }
 
-/** Chooses the versions that try a request, in order. */
+/** Chooses the versions that try a request, and their order. */
 export class CascadePlanner {
   constructor(private readonly options: Options) {}
 
-  /** The legs of a request, at least one; a problem is thrown if no version may take it. */
+  /** Plans at least one leg; throws a problem if no version may serve the request. */
   plan(request: CompletionRequest): CascadeLeg[] {
     return this.chooseVersions(request).map((version, index) =>
       createLeg(version, request.id, index),
@@ -49,11 +49,11 @@
   private chooseVersions(request: CompletionRequest): readonly Version[] {
     const {
       store,
-      stalenessGuard: staleness,
+      stalenessGuard,
       membership,
       random,
-      ratingTracker: evidence,
-      cascadePolicy: cascade,
+      ratingTracker,
+      cascadePolicy,
       clock,
     } = this.options;
     const eligible = findEligibleVersions(store.current, {
@@ -61,7 +61,7 @@
       task: request.taskName,
       selector: request.selector,
       session: request.session,
-      stale: staleness.isStale(),
+      stale: stalenessGuard.isStale(),
       suspects: membership.collectSuspects(),
     });
     const versions = eligible.caseOf({
@@ -73,7 +73,7 @@
     if (request.session) return versions;
     const picked = pickVersions(versions, {
       random,
-      hasExposureBudget: version => evidence.hasExposureBudget(version),
+      hasExposureBudget: version => ratingTracker.hasExposureBudget(version),
       isLoaded: version => this.options.pool.canServe(version.id),
     });
     if (picked.length === 0) throw createExposureExhaustedProblem();
@@ -87,7 +87,7 @@
       ),
       expectedMs: this.options.completionTimes.estimateMs(version.id),
     }));
-    return cascade.plan(candidates, {
+    return cascadePolicy.plan(candidates, {
       quality: request.task.quality,
       remainingMs: request.deadlineAt - now,
       ratingWaitMs: this.options.ratingWaitMs,
--- a/packages/daemon/src/callers/completions/collect_completion.ts
+++ b/packages/daemon/src/callers/completions/collect_completion.ts
@@ -3,25 +3,25 @@
 import type {StartedCompletion} from './started_completion.js';
 import {formatUsage} from './format_usage.js';
 
-/** Collects an answer into one OpenAI `chat.completion` object. */
+/** Collects a completion into one OpenAI `chat.completion` object. */
 export async function collectCompletion(
   requestId: string,
-  open: StartedCompletion,
+  started: StartedCompletion,
 ): Promise<Buffer> {
   let text = '';
-  for await (const part of open.events) {
-    if (part.kind === 'token') {
-      text += part.text;
+  for await (const event of started.events) {
+    if (event.kind === 'token') {
+      text += event.text;
       continue;
     }
     return Buffer.from(
       JSON.stringify(
         createCompletionObject(
           requestId,
-          open,
+          started,
           text,
-          part.finishReason,
-          part.usage,
+          event.finishReason,
+          event.usage,
         ),
       ),
     );
@@ -31,7 +31,7 @@
 
 function createCompletionObject(
   id: string,
-  open: StartedCompletion,
+  started: StartedCompletion,
   content: string,
   finishReason: string,
   usage: Usage,
@@ -39,8 +39,8 @@
   return {
     id,
     object: 'chat.completion',
-    created: open.createdAt,
-    model: open.version.id,
+    created: started.createdAt,
+    model: started.version.id,
     choices: [
       {
         index: 0,
--- a/packages/daemon/src/callers/completions/completion_body.ts
+++ b/packages/daemon/src/callers/completions/completion_body.ts
@@ -16,7 +16,7 @@
   content: z.union([z.string(), z.array(contentPart), z.null()]).optional(),
 });
 
-/** The body of `POST /v1/chat/completions`. Fields that are not named here are passed on to the engine. */
+/** The body of `POST /v1/chat/completions`. Fields that are not listed here are forwarded to the engine. */
 export const completionBody = z.looseObject({
   model: z.string().min(1).max(128),
   messages: z.array(message).min(1).max(MAX_MESSAGES),
@@ -28,6 +28,6 @@
   max_completion_tokens: z.int().min(1).max(MAX_TOKENS).nullish(),
   temperature: z.number().min(0).max(2).nullish(),
   top_p: z.number().min(0).max(1).nullish(),
-  /** Only one choice is generated. */
+  /** The router generates a single choice. */
   n: z.literal(1, 'must be 1: this router gives one choice').nullish(),
 });
--- a/packages/daemon/src/callers/completions/completion_event.ts
+++ b/packages/daemon/src/callers/completions/completion_event.ts
@@ -1,6 +1,6 @@
 import type {Usage} from '@bayspool/decisions';
 
-/** The tokens of one answer as they come, each once and in order, and its end. */
+/** An event of a streamed completion: each token once and in order, then the end. */
 export type CompletionEvent =
   | {readonly kind: 'token'; readonly text: string}
   | {
--- a/packages/daemon/src/callers/completions/completion_handler.ts
+++ b/packages/daemon/src/callers/completions/completion_handler.ts
@@ -29,17 +29,17 @@
 
 const DEFAULT_TASK = 'default';
 
-/** `POST /v1/chat/completions`. */
+/** Handles `POST /v1/chat/completions`. */
 export class CompletionHandler {
   constructor(private readonly options: Options) {}
 
   async handle(call: AuthenticatedCall): Promise<CallResponse> {
     const body = parseJsonBody(call.body, completionBody);
     const request = this.createRequest(call, body);
-    const open = await this.options.completionService.start(request);
-    const headers = createHeaders(call, open);
+    const started = await this.options.completionService.start(request);
+    const headers = createHeaders(call, started);
     if (!request.stream) {
-      const answer = await collectCompletion(call.id, open);
+      const answer = await collectCompletion(call.id, started);
       return {
         status: 200,
         headers: {...headers, 'content-type': 'application/json'},
@@ -54,7 +54,7 @@
         'content-type': 'text/event-stream; charset=utf-8',
         'cache-control': 'no-cache',
       },
-      body: formatStreamChunks(call.id, open, includeUsage),
+      body: formatStreamChunks(call.id, started, includeUsage),
     };
   }
 
@@ -101,13 +101,13 @@
 
 function createHeaders(
   call: AuthenticatedCall,
-  open: StartedCompletion,
+  started: StartedCompletion,
 ): Record<string, string> {
   return {
     [callerHeaders.requestId]: call.id,
     [callerHeaders.outcome]: Outcome.RAN,
-    [callerHeaders.version]: open.version.id,
-    [callerHeaders.session]: open.sealedSession,
+    [callerHeaders.version]: started.version.id,
+    [callerHeaders.session]: started.sealedSession,
   };
 }
 
--- a/packages/daemon/src/callers/completions/completion_request.ts
+++ b/packages/daemon/src/callers/completions/completion_request.ts
@@ -6,7 +6,7 @@
 } from '@bayspool/decisions';
 import type {Context} from '@opentelemetry/api';
 
-/** A checked request for an answer. */
+/** A validated request for a completion. */
 export interface CompletionRequest {
   readonly id: string;
   readonly billId: string;
@@ -18,9 +18,9 @@
   readonly selector: string;
   readonly session: Session | undefined;
   readonly body: Readonly<Record<string, unknown>>;
-  /** The text of all its messages. */
+  /** The concatenated text of all messages. */
   readonly prompt: string;
-  /** Whether the caller wants tokens as they come. */
+  /** Whether the caller wants the tokens streamed. */
   readonly stream: boolean;
   /** Monotonic time in ms. */
   readonly deadlineAt: number;
--- a/packages/daemon/src/callers/completions/completion_service.ts
+++ b/packages/daemon/src/callers/completions/completion_service.ts
@@ -36,15 +36,15 @@
   readonly ratingTracker: VersionRatingTracker;
   readonly billRecorder: BillRecorder;
   readonly sessionSealer: SessionSealer;
-  /** How long a held answer waits for its rating, in ms. */
+  /** How long an answer is held back for its rating, in ms. */
   readonly ratingWaitMs: number;
-  /** The part of answers handed in for rating when nothing asks for it. */
+  /** The fraction of answers that are sampled for rating when no rating is required. */
   readonly ratingSampleRate: number;
 }
 
 const THOUSAND = 1_000;
 
-/** Answers requests: chooses versions, runs the legs of a cascade, bills once, and has answers rated. */
+/** Serves completions: chooses versions, runs the legs of the cascade, records one bill per request and submits answers for rating. */
 export class CompletionService {
   private readonly planner: CascadePlanner;
 
@@ -52,7 +52,7 @@
     this.planner = new CascadePlanner(options);
   }
 
-  /** Gives the answer once its first part is there; problems before that are thrown. */
+  /** Resolves once the first event of the completion is available; earlier failures are thrown. */
   async start(request: CompletionRequest): Promise<StartedCompletion> {
     if (!this.options.billRecorder.hasCapacity())
       throw createBillBacklogProblem();
@@ -75,13 +75,13 @@
     throw new Error('a cascade has at least one leg');
   }
 
-  /** Runs a leg that is followed by another: its answer is held, and given only when rated good. */
+  /** Runs a leg that is not the last: its answer is held back and returned only when it is rated good. */
   private async runGatedLeg(
     request: CompletionRequest,
     leg: CascadeLeg,
     done: readonly CascadeLeg[],
   ): Promise<StartedCompletion | undefined> {
-    const parts = await this.collectEvents(request, leg);
+    const events = await this.collectEvents(request, leg);
     const good = await this.options.tracing.run('rating', request.trace, () =>
       this.requestRating(request, leg, this.options.ratingWaitMs),
     );
@@ -89,7 +89,7 @@
     await this.options.billRecorder.record(
       this.createBill(request, done, true),
     );
-    return this.createStartedCompletion(request, leg, replay(parts));
+    return this.createStartedCompletion(request, leg, replay(events));
   }
 
   private async startFinalLeg(
@@ -98,19 +98,19 @@
     done: readonly CascadeLeg[],
   ): Promise<StartedCompletion> {
     const startedAt = this.options.clock.now();
-    const parts = this.options.legRunner.run(request, leg);
+    const events = this.options.legRunner.run(request, leg);
     this.recordExposure(leg);
-    const first = await this.awaitFirstEvent(parts, leg);
-    const rest = this.relayRest(request, leg, done, parts, startedAt);
+    const first = await this.awaitFirstEvent(events, leg);
+    const rest = this.relayRest(request, leg, done, events, startedAt);
     return this.createStartedCompletion(request, leg, prepend(first, rest));
   }
 
   private async awaitFirstEvent(
-    parts: AsyncGenerator<CompletionEvent>,
+    events: AsyncGenerator<CompletionEvent>,
     leg: CascadeLeg,
   ): Promise<CompletionEvent> {
     try {
-      const first = await parts.next();
+      const first = await events.next();
       return first.value as CompletionEvent;
     } catch (error) {
       this.options.ratingTracker.cancelExposure(leg.version.id, leg.ratingId);
@@ -118,18 +118,18 @@
     }
   }
 
-  /** Passes the rest on; the bill stands on a second host before the final part is released. */
+  /** Relays the remaining events; the bill is replicated to a second host before the final event is yielded. */
   private async *relayRest(
     request: CompletionRequest,
     leg: CascadeLeg,
     done: readonly CascadeLeg[],
-    parts: AsyncGenerator<CompletionEvent>,
+    events: AsyncGenerator<CompletionEvent>,
     startedAt: number,
   ): AsyncGenerator<CompletionEvent> {
     let whole = false;
     try {
-      for await (const part of parts) {
-        if (part.kind === 'final') {
+      for await (const event of events) {
+        if (event.kind === 'final') {
           whole = true;
           this.options.completionTimes.recordDuration(
             leg.version.id,
@@ -139,7 +139,7 @@
             this.createBill(request, done, true),
           );
         }
-        yield part;
+        yield event;
       }
     } finally {
       if (whole) this.rateIfSampled(request, leg);
@@ -152,11 +152,11 @@
     leg: CascadeLeg,
   ): Promise<CompletionEvent[]> {
     const startedAt = this.options.clock.now();
-    const parts: CompletionEvent[] = [];
+    const events: CompletionEvent[] = [];
     this.recordExposure(leg);
     try {
-      for await (const part of this.options.legRunner.run(request, leg))
-        parts.push(part);
+      for await (const event of this.options.legRunner.run(request, leg))
+        events.push(event);
     } catch (error) {
       this.options.ratingTracker.cancelExposure(leg.version.id, leg.ratingId);
       throw error;
@@ -165,7 +165,7 @@
       leg.version.id,
       this.options.clock.now() - startedAt,
     );
-    return parts;
+    return events;
   }
 
   private recordExposure(leg: CascadeLeg): void {
@@ -192,10 +192,10 @@
   }
 
   private rateIfSampled(request: CompletionRequest, leg: CascadeLeg): void {
-    const wanted =
+    const isSampled =
       leg.version.rollOut !== undefined ||
       this.options.random.next() < this.options.ratingSampleRate;
-    if (wanted) void this.requestRating(request, leg, 0);
+    if (isSampled) void this.requestRating(request, leg, 0);
   }
 
   private recordIncomplete(
@@ -207,7 +207,7 @@
     this.billPartial(request, done);
   }
 
-  /** What ran is billed although the caller did not get the whole answer. */
+  /** Bills the tokens that were generated although the caller did not receive the complete answer. */
   private billPartial(
     request: CompletionRequest,
     done: readonly CascadeLeg[],
@@ -243,20 +243,20 @@
   private createStartedCompletion(
     request: CompletionRequest,
     leg: CascadeLeg,
-    parts: AsyncIterable<CompletionEvent>,
+    events: AsyncIterable<CompletionEvent>,
   ): StartedCompletion {
     const createdAt = Math.floor(this.options.clock.wall() / THOUSAND);
     return {
       version: leg.version,
       sealedSession: this.sealSession(request, leg),
       createdAt,
-      events: parts,
+      events,
     };
   }
 
   private sealSession(request: CompletionRequest, leg: CascadeLeg): string {
-    const {sessionSealer: sessions, store, clock} = this.options;
-    return sessions.seal(
+    const {sessionSealer, store, clock} = this.options;
+    return sessionSealer.seal(
       request.session ?? {
         id: randomUUID(),
         workspace: request.workspace.id,
@@ -269,9 +269,9 @@
 }
 
 async function* replay(
-  parts: readonly CompletionEvent[],
+  events: readonly CompletionEvent[],
 ): AsyncGenerator<CompletionEvent> {
-  yield* parts;
+  yield* events;
 }
 
 async function* prepend(
--- a/packages/daemon/src/callers/completions/completion_time_estimator.ts
+++ b/packages/daemon/src/callers/completions/completion_time_estimator.ts
@@ -1,7 +1,7 @@
 const INITIAL_ESTIMATE_MS = 500;
 const SMOOTHING_FACTOR = 0.1;
 
-/** The recent time to a whole answer, by version. */
+/** Estimates the time to a complete answer of each version from recent requests. */
 export class CompletionTimeEstimator {
   private readonly meanMsByVersion = new Map<string, number>();
 
@@ -10,7 +10,7 @@
     this.meanMsByVersion.set(version, mean + SMOOTHING_FACTOR * (ms - mean));
   }
 
-  /** The expected time in ms; half a second while nothing is known. */
+  /** Estimates the time in ms; half a second while there is no data. */
   estimateMs(version: string): number {
     return this.meanMsByVersion.get(version) ?? INITIAL_ESTIMATE_MS;
   }
--- a/packages/daemon/src/callers/completions/format_usage.ts
+++ b/packages/daemon/src/callers/completions/format_usage.ts
@@ -1,6 +1,6 @@
 import type {Usage} from '@bayspool/decisions';
 
-/** A usage in the OpenAI form. */
+/** Formats a usage in the OpenAI format. */
 export function formatUsage(usage: Usage): object {
   return {
     prompt_tokens: usage.promptTokens,
--- a/packages/daemon/src/callers/completions/leg_failures.ts
+++ b/packages/daemon/src/callers/completions/leg_failures.ts
@@ -54,11 +54,11 @@
   );
 }
 
-/** What a leg fails with, and what its caller is told. */
+/** Creates the failures of a leg and the problems that its caller receives. */
 export const legFailures = {
-  createProtocolFailure: createProtocolFailure,
-  toRunnerFailure: toRunnerFailure,
-  createCancelledFailure: createCancelledFailure,
-  createVersionUnavailableProblem: createVersionUnavailableProblem,
-  createFinalFailure: createFinalFailure,
+  createProtocolFailure,
+  toRunnerFailure,
+  createCancelledFailure,
+  createVersionUnavailableProblem,
+  createFinalFailure,
 };
--- a/packages/daemon/src/callers/completions/started_completion.ts
+++ b/packages/daemon/src/callers/completions/started_completion.ts
@@ -1,10 +1,10 @@
 import type {Version} from '@bayspool/decisions';
 import type {CompletionEvent} from './completion_event.js';
 
-/** An answer that has begun. */
+/** A completion whose first event is available. */
 export interface StartedCompletion {
   readonly version: Version;
-  /** The sealed session, to be sent with the next turn. */
+  /** The sealed session, which the caller sends with its next turn. */
   readonly sealedSession: string;
   /** Seconds since the Unix epoch. */
   readonly createdAt: number;
--- a/packages/daemon/src/callers/create_bill_backlog_problem.ts
+++ b/packages/daemon/src/callers/create_bill_backlog_problem.ts
@@ -2,7 +2,7 @@
 
 const RETRY_AFTER_MS = 10_000;
 
-/** Said before any work when the log has been away for so long that no more bills can be kept. */
+/** Creates the problem for requests that are rejected before dispatch because the log has been unavailable for so long that no more bills can be held. */
 export function createBillBacklogProblem(): Problem {
   return new Problem({
     kind: ProblemKind.OVERLOADED,
--- a/packages/daemon/src/callers/create_error_response.ts
+++ b/packages/daemon/src/callers/create_error_response.ts
@@ -7,9 +7,9 @@
 const SECOND_MS = 1_000;
 
 /**
- * The answer to a request that failed. Clients that repeat failed requests by
- * themselves are told not to, unless the request is known not to have run and
- * may be tried again.
+ * Creates the response to a failed request. Clients that retry failed requests
+ * by themselves are told not to, unless the request is known not to have run and
+ * can be retried.
  */
 export function createErrorResponse(
   error: unknown,
--- a/packages/daemon/src/callers/create_models_list.ts
+++ b/packages/daemon/src/callers/create_models_list.ts
@@ -7,7 +7,7 @@
 const AUTO_MODEL = 'auto';
 const MODEL_OWNER = 'bayspool';
 
-/** What `GET /v1/models` shows a workspace: the versions that its tasks allow, their models, and `auto`. */
+/** Creates the body of `GET /v1/models`: the versions that the tasks of a workspace allow, their models, and `auto`. */
 export function createModelsList(
   config: Configuration,
   workspace: string,
--- a/packages/daemon/src/callers/describe_error.ts
+++ b/packages/daemon/src/callers/describe_error.ts
@@ -1,7 +1,7 @@
 import {Outcome, determineOutcome, RequestFailure} from '@bayspool/decisions';
 import {toProblem, type Problem, type ProblemKind} from '@bayspool/kernel';
 
-/** The body of every error, in the OpenAI shape with two fields added. */
+/** The body of every error response: the OpenAI format plus two fields. */
 interface ErrorBody {
   readonly error: {
     readonly message: string;
@@ -12,7 +12,7 @@
   };
 }
 
-/** What is told of a failed request. */
+/** What a caller is told about a failed request. */
 interface ErrorDescription {
   readonly problem: Problem;
   readonly outcome: Outcome;
@@ -21,7 +21,7 @@
 
 const ERROR_TYPE = 'bayspool_error';
 
-/** Describes any failure in the shape that callers get. */
+/** Describes any error in the format that callers receive. */
 export function describeError(
   error: unknown,
   requestId: string,
--- a/packages/daemon/src/callers/http_status_by_problem_kind.ts
+++ b/packages/daemon/src/callers/http_status_by_problem_kind.ts
@@ -1,6 +1,6 @@
 import {ProblemKind} from '@bayspool/kernel';
 
-/** The HTTP status of each kind of problem at the callers' and operators' doors. */
+/** The HTTP status for each kind of problem in responses to callers and operators. */
 export const httpStatusByProblemKind: Readonly<Record<ProblemKind, number>> = {
   [ProblemKind.SETTINGS]: 500,
   [ProblemKind.BAD_REQUEST]: 400,
--- a/packages/daemon/src/callers/parse_json_body.ts
+++ b/packages/daemon/src/callers/parse_json_body.ts
@@ -1,7 +1,7 @@
 import {Problem, ProblemKind} from '@bayspool/kernel';
 import {z} from 'zod';
 
-/** Reads a JSON body and checks it; throws a problem that names the first field at fault. */
+/** Parses and validates a JSON body; throws a problem that names the first invalid field. */
 export function parseJsonBody<T>(body: Buffer, schema: z.ZodType<T>): T {
   const parsed = schema.safeParse(parseJson(body));
   if (parsed.success) return parsed.data;
--- a/packages/daemon/src/callers/send_response.ts
+++ b/packages/daemon/src/callers/send_response.ts
@@ -3,9 +3,9 @@
 import {describeError} from './describe_error.js';
 
 /**
- * Writes an answer, waiting while the caller reads slowly. A stream that fails
- * ends with an error event and without `[DONE]`; any other body is cut. Gives
- * whether the whole answer was written.
+ * Writes a response with backpressure. An event stream that fails ends with an
+ * error event and without `[DONE]`; any other body is aborted. Returns whether
+ * the complete response was written.
  */
 export async function sendResponse(
   response: ServerResponse,
@@ -56,7 +56,7 @@
   );
 }
 
-/** Lets the producer of a body clean up when nobody reads it. */
+/** Closes a body that nobody reads, so that its producer can clean up. */
 async function discardBody(answer: CallResponse): Promise<void> {
   if (!Buffer.isBuffer(answer.body))
     await answer.body[Symbol.asyncIterator]().return?.();
--- a/packages/daemon/src/callers/services/buffer_service_body.ts
+++ b/packages/daemon/src/callers/services/buffer_service_body.ts
@@ -1,31 +1,31 @@
 import type {Readable} from 'node:stream';
 
 /**
- * Collects a body up to `most` bytes, so that a cut answer is noticed before any of
- * it is passed on. A longer one is passed on as it comes.
+ * Buffers a body of up to `maxBytes`, so that a truncated response is detected before
+ * any of it is forwarded. A longer body is streamed.
  */
 export async function bufferServiceBody(
   body: Readable,
-  most: number,
+  maxBytes: number,
 ): Promise<Buffer | AsyncIterable<Buffer>> {
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
   const iterator = body[Symbol.asyncIterator]();
-  while (bytes <= most) {
+  while (bytes <= maxBytes) {
     const {value, done} = await iterator.next();
-    if (done) return Buffer.concat(pieces);
-    pieces.push(value as Buffer);
+    if (done) return Buffer.concat(chunks);
+    chunks.push(value as Buffer);
     bytes += (value as Buffer).length;
   }
-  return resumeBody(pieces, iterator);
+  return resumeBody(chunks, iterator);
 }
 
 async function* resumeBody(
-  pieces: readonly Buffer[],
+  chunks: readonly Buffer[],
   iterator: AsyncIterator<Buffer>,
 ): AsyncGenerator<Buffer> {
   try {
-    yield* pieces;
+    yield* chunks;
     for (
       let next = await iterator.next();
       !next.done;
--- a/packages/daemon/src/callers/services/filter_forwarded_headers.ts
+++ b/packages/daemon/src/callers/services/filter_forwarded_headers.ts
@@ -1,4 +1,4 @@
-/** Headers that belong to one connection, or to the door itself, and are not passed on. */
+/** Headers that apply to one connection or to the router itself and are not forwarded. */
 const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -17,7 +17,7 @@
 ]);
 const ROUTER_HEADER_PREFIX = 'bayspool-';
 
-/** The headers of a request or answer that pass the router. */
+/** Returns the headers of a request or response that the router forwards. */
 export function filterForwardedHeaders<T extends string | string[]>(
   headers: Readonly<Record<string, T>>,
 ): Record<string, T> {
--- a/packages/daemon/src/callers/services/find_service_route.ts
+++ b/packages/daemon/src/callers/services/find_service_route.ts
@@ -8,8 +8,8 @@
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * The configured route of a call: the one with the longest path that fits. A call
- * that fits none may be repeated only when its method is safe.
+ * Finds the configured route of a call: the one with the longest matching path. A call
+ * without a route may be retried only when its method is safe.
  */
 export function findServiceRoute(
   config: Configuration,
@@ -26,10 +26,10 @@
     });
   }
   const [pathname] = path.split('?');
-  const fitting = definition.routes.filter(
+  const matching = definition.routes.filter(
     route => route.method === method && isPathPrefix(route.path, pathname),
   );
-  const [best] = fitting.sort((a, b) => b.path.length - a.path.length);
+  const [best] = matching.sort((a, b) => b.path.length - a.path.length);
   return (
     best ?? {
       method: method as Route['method'],
--- a/packages/daemon/src/callers/services/service_call_handler.ts
+++ b/packages/daemon/src/callers/services/service_call_handler.ts
@@ -43,15 +43,15 @@
   readonly store: ConfigurationStore;
   readonly pool: ServiceRunnerPool;
   readonly billRecorder: BillRecorder;
-  /** Attempts at a call that may be repeated. */
+  /** The maximum number of attempts at a retryable call. */
   readonly maxAttempts: number;
-  /** An answer up to this size is collected before it is passed on, in bytes. */
+  /** Responses up to this size are buffered before they are forwarded, in bytes. */
   readonly maxBufferedBytes: number;
-  /** Used where the caller names no deadline, in ms. */
+  /** The deadline where the caller sets none, in ms. */
   readonly defaultDeadlineMs: number;
 }
 
-/** What one call is about. */
+/** A call with its service, route and deadline. */
 interface ServiceCall {
   readonly call: AuthenticatedCall;
   readonly service: string;
@@ -61,20 +61,20 @@
 }
 
 const SERVICE_PATH = /^\/services\/([a-z0-9][a-z0-9-]{0,62})(\/.*)?$/;
-const INITIAL_BACKOFF_MS = 10;
+const MIN_BACKOFF_MS = 10;
 const MAX_BACKOFF_MS = 200;
 
 /**
- * `ANY /services/<service>/<path>`. A call that may be repeated is tried again at
- * another runner; any other is sent once, and when it cannot be told whether it
- * arrived, the outcome is unknown.
+ * Handles `ANY /services/<service>/<path>`. A retryable call is retried on another
+ * runner; any other is sent at most once, and when it is unclear whether it arrived,
+ * the outcome is unknown.
  */
 export class ServiceCallHandler {
   private readonly retryBudget = new RetryBudget();
 
   constructor(private readonly options: Options) {}
 
-  /** Whether the call must not be sent twice. */
+  /** Whether the call may be sent at most once. */
   isAtMostOnce(call: AuthenticatedCall): boolean {
     const [service, path] = splitPath(call.path);
     return findServiceRoute(
@@ -89,7 +89,7 @@
     const serviceCall = this.createServiceCall(call);
     if (!this.options.billRecorder.hasCapacity())
       throw createBillBacklogProblem();
-    const answer = await this.sendWithRetries(serviceCall);
+    const response = await this.sendWithRetries(serviceCall);
     await this.options.billRecorder.record({
       type: 'bill',
       id: call.billId,
@@ -99,14 +99,14 @@
       whole: true,
     });
     return {
-      status: answer.status,
+      status: response.status,
       headers: {
-        ...filterForwardedHeaders(answer.headers),
+        ...filterForwardedHeaders(response.headers),
         [callerHeaders.requestId]: call.id,
         [callerHeaders.outcome]: Outcome.RAN,
         [callerHeaders.shouldRetry]: 'false',
       },
-      body: answer.body,
+      body: response.body,
     };
   }
 
@@ -142,16 +142,20 @@
     const {call, route} = serviceCall;
     const backoff = new Backoff({
       random,
-      initialMs: INITIAL_BACKOFF_MS,
+      initialMs: MIN_BACKOFF_MS,
       maxMs: MAX_BACKOFF_MS,
     });
-    const avoid = new Set<string>();
+    const failedIds = new Set<string>();
     let mayHaveRun = false;
     this.retryBudget.recordFirstAttempt();
     for (let attempt = 1; ; attempt++) {
-      const grant = await this.acquire(serviceCall, avoid, mayHaveRun);
+      const reservation = await this.acquire(
+        serviceCall,
+        failedIds,
+        mayHaveRun,
+      );
       try {
-        return await this.attempt(serviceCall, grant);
+        return await this.attempt(serviceCall, reservation);
       } catch (error) {
         const failure =
           error instanceof RunnerFailure
@@ -160,17 +164,17 @@
         mayHaveRun ||= failure.mayHaveRun;
         logger.info('attempt failed', {
           requestId: call.id,
-          runner: grant.backend.id,
+          runner: reservation.backend.id,
           error: failure.message,
         });
-        const repeatable = !route.once || !mayHaveRun;
-        const inTime =
+        const isRetryable = !route.once || !mayHaveRun;
+        const mayTryAgain =
           attempt < this.options.maxAttempts &&
           clock.now() < serviceCall.deadlineAt &&
           !call.signal.aborted;
-        if (!repeatable || !inTime || !this.retryBudget.trySpend())
+        if (!isRetryable || !mayTryAgain || !this.retryBudget.trySpend())
           throw createFinalFailure(failure, mayHaveRun, route.once);
-        avoid.add(grant.backend.id);
+        failedIds.add(reservation.backend.id);
       }
       await sleep(clock, backoff.nextDelayMs(), call.signal);
     }
@@ -178,7 +182,7 @@
 
   private async acquire(
     serviceCall: ServiceCall,
-    avoid: ReadonlySet<string>,
+    failedIds: ReadonlySet<string>,
     mayHaveRun: boolean,
   ): Promise<SlotReservation<ServiceRunner>> {
     const {store, pool} = this.options;
@@ -198,7 +202,7 @@
           ],
           allowsCrossing: workspace.crossing,
           prefixes: [],
-          avoidedIds: avoid,
+          avoidedIds: failedIds,
           revalidate: () => this.revalidate(workspace, serviceCall.service),
         },
         serviceCall.call.signal,
@@ -223,12 +227,12 @@
 
   private async attempt(
     serviceCall: ServiceCall,
-    grant: SlotReservation<ServiceRunner>,
+    reservation: SlotReservation<ServiceRunner>,
   ): Promise<ServiceResponse<CallResponse['body']>> {
-    const {clock, tracing, maxBufferedBytes: collectMost} = this.options;
+    const {clock, tracing, maxBufferedBytes} = this.options;
     const {call, request, route, deadlineAt} = serviceCall;
     const span = tracing.start('attempt', call.trace, {
-      runner: grant.backend.id,
+      runner: reservation.backend.id,
     });
     const timeout = timeoutSignal(clock, deadlineAt - clock.now());
     const signal = route.once
@@ -236,16 +240,14 @@
       : AbortSignal.any([call.signal, timeout.signal]);
     let result: AttemptResult = AttemptResult.FAILED;
     try {
-      const answer: ServiceResponse<Readable> = await grant.backend.call(
-        request,
-        signal,
-      );
-      const body = await bufferServiceBody(answer.body, collectMost);
+      const response: ServiceResponse<Readable> =
+        await reservation.backend.call(request, signal);
+      const body = await bufferServiceBody(response.body, maxBufferedBytes);
       result = AttemptResult.OK;
-      return {status: answer.status, headers: answer.headers, body};
+      return {status: response.status, headers: response.headers, body};
     } finally {
       timeout.cancel();
-      grant.release(result);
+      reservation.release(result);
       span.end();
     }
   }
--- a/packages/daemon/src/callers/stored_response.ts
+++ b/packages/daemon/src/callers/stored_response.ts
@@ -7,7 +7,7 @@
   body: z.string(),
 });
 
-/** An answer that is kept for its key, and passed between hosts. */
+/** A buffered response that is stored for its key and sent between hosts. */
 type StoredResponse = z.output<typeof storedResponse>;
 const StoredResponse = storedResponse;
 
--- a/packages/daemon/src/callers/tickets/claim_log.ts
+++ b/packages/daemon/src/callers/tickets/claim_log.ts
@@ -22,22 +22,22 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly identity: HostIdentity;
-  /** The place in whose stream keys are claimed. */
+  /** The place whose log stream holds the claims. */
   readonly place: string;
   readonly log: Log;
   readonly sealer: Sealer;
-  /** How long a key stays claimed, in ms; shorter than the log's retention. */
+  /** How long a claim lasts, in ms; must be shorter than the log's retention. */
   readonly claimTtlMs: number;
-  /** How long one read of the log waits, in ms. */
+  /** How long one long poll of the log waits, in ms. */
   readonly longPollMs: number;
-  /** How long a claim may take until it is read back, in ms. */
+  /** Timeout for appending a claim and reading it back, in ms. */
   readonly claimTimeoutMs: number;
 }
 
-const INITIAL_BACKOFF_MS = 100;
+const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 3_000;
 
-/** Claims callers' own keys in the log stream of a place: the first claim in the log's order wins. */
+/** Claims callers' own keys in the log stream of a place: the first claim in log order wins. */
 export class ClaimLog implements Service {
   readonly name = 'claim keeper';
   private readonly stopping = new AbortController();
@@ -54,16 +54,10 @@
     this.stream = `claims.${options.place}`;
   }
 
-  /** Claims a key and gives the claim that won, once it was read back. Nothing was dispatched when this fails. */
+  /** Claims a key and returns the winning claim once it has been read back. When this fails, nothing was dispatched. */
   async claim(key: string): Promise<ClaimRecord> {
-    const {
-      clock,
-      log,
-      sealer: seal,
-      identity,
-      claimTimeoutMs: timeoutMs,
-    } = this.options;
-    const deadline = clock.now() + timeoutMs;
+    const {clock, log, sealer, identity, claimTimeoutMs} = this.options;
+    const deadline = clock.now() + claimTimeoutMs;
     await this.waitUntil(() => this.hasReadToEnd, deadline);
     const known = this.table.findWinner(key);
     if (known) return known;
@@ -77,7 +71,7 @@
       address: identity.peerAddress,
     };
     try {
-      await log.append(this.stream, [seal.seal(record)]);
+      await log.append(this.stream, [sealer.seal(record)]);
     } catch (error) {
       if (!this.table.findWinner(key)) throw createClaimFailedProblem(error);
     }
@@ -88,12 +82,12 @@
     return this.table.findWinner(key)!;
   }
 
-  /** Keys that are claimed, as far as this host has read. */
+  /** The number of claimed keys, as far as this host has read the log. */
   get size(): number {
     return this.table.size;
   }
 
-  /** Whether the key was claimed, as far as this host has read. */
+  /** Whether the key is claimed, as far as this host has read the log. */
   hasClaim(key: string): boolean {
     return this.table.findWinner(key) !== undefined;
   }
@@ -111,7 +105,7 @@
     const {clock, random, logger} = this.options;
     const backoff = new Backoff({
       random,
-      initialMs: INITIAL_BACKOFF_MS,
+      initialMs: MIN_BACKOFF_MS,
       maxMs: MAX_BACKOFF_MS,
     });
     while (!this.stopping.signal.aborted) {
@@ -130,8 +124,8 @@
   }
 
   private async readPage(): Promise<void> {
-    const {log, longPollMs: pollMs} = this.options;
-    const waitMs = this.hasReadToEnd ? pollMs : 0;
+    const {log, longPollMs} = this.options;
+    const waitMs = this.hasReadToEnd ? longPollMs : 0;
     const page = await log.read(this.stream, this.nextOffset, {
       waitMs,
       signal: this.stopping.signal,
--- a/packages/daemon/src/callers/tickets/forwarded_call.ts
+++ b/packages/daemon/src/callers/tickets/forwarded_call.ts
@@ -12,7 +12,7 @@
   deadlineMs: z.number().optional(),
 });
 
-/** A caller's request on its way to the host that must answer it. */
+/** A call that is forwarded to the host that must run it. */
 type ForwardedCall = z.output<typeof forwardedCall>;
 const ForwardedCall = forwardedCall;
 
--- a/packages/daemon/src/callers/tickets/key_claimer.ts
+++ b/packages/daemon/src/callers/tickets/key_claimer.ts
@@ -16,11 +16,11 @@
   readonly vacantPlaceClaims: VacantPlaceClaims;
 }
 
-/** Who may run the call with a caller's own key, and whether a key was used where that cannot be told. */
+/** Claims callers' own keys, and finds out whether a key may have been used when the log is unavailable. */
 export class KeyClaimer {
   constructor(private readonly options: Options) {}
 
-  /** The claim that won a key of the own place; fails as not run only if no host can have run it. */
+  /** Returns the winning claim on a key of the own place; fails as not run only if no host can have run the call. */
   async claim(key: string): Promise<ClaimRecord> {
     try {
       return await this.options.claimLog.claim(key);
@@ -32,9 +32,9 @@
   }
 
   /**
-   * The claim that won a key of a place that no host was ever heard of. Hosts of any place claim such
-   * keys. Which of them used a key is known from the log alone, so without it nobody can say that the key
-   * was not used.
+   * Returns the winning claim on a key of a place that no host was ever seen in. Hosts of any place may
+   * claim such keys, so only the log tells whether one of them used a key; without the log no host can
+   * rule it out.
    */
   async claimVacant(place: string, key: string): Promise<ClaimRecord> {
     try {
@@ -44,23 +44,19 @@
     }
   }
 
-  /** Whether this host knows of a use of the key. */
+  /** Whether this host has seen a claim or a use of the key. */
   hasSeen(key: string): boolean {
-    const {
-      claimLog: claims,
-      vacantPlaceClaims: vacantClaims,
-      callRunner: home,
-    } = this.options;
+    const {claimLog, vacantPlaceClaims, callRunner} = this.options;
     return (
-      claims.hasClaim(key) ||
-      vacantClaims.hasClaim(key) ||
-      home.cache.hasKey(key)
+      claimLog.hasClaim(key) ||
+      vacantPlaceClaims.hasClaim(key) ||
+      callRunner.cache.hasKey(key)
     );
   }
 
   /**
-   * Whether no host of the place can have run a call with this key. A host dispatches
-   * only after it has read its claim back, so hosts that all answer have all been asked.
+   * Whether no host of the place can have run a call with this key. A host dispatches a
+   * call only after reading its own claim back, so it is enough that every host of the place replies.
    */
   private async isUnusedInPlace(key: string): Promise<boolean> {
     const {membership, client, identity} = this.options;
--- a/packages/daemon/src/callers/tickets/key_failures.ts
+++ b/packages/daemon/src/callers/tickets/key_failures.ts
@@ -1,12 +1,12 @@
 import {Outcome, RequestFailure} from '@bayspool/decisions';
 import {Problem, ProblemKind} from '@bayspool/kernel';
 
-/** What callers are told when the home of a key cannot answer. */
+/** Creates the failures that callers receive when the home process of a key cannot respond. */
 export const keyFailures = {
-  createExpiredTicketProblem: createExpiredTicketProblem,
-  createPlaceUnreachableFailure: createPlaceUnreachableFailure,
-  createEarlierUseUnknownFailure: createEarlierUseUnknownFailure,
-  createHomeUnreachableFailure: createHomeUnreachableFailure,
+  createExpiredTicketProblem,
+  createPlaceUnreachableFailure,
+  createEarlierUseUnknownFailure,
+  createHomeUnreachableFailure,
 } as const;
 
 function createExpiredTicketProblem(): Problem {
--- a/packages/daemon/src/callers/tickets/keyed_call_methods.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_methods.ts
@@ -1,13 +1,13 @@
-/** Peer methods of answers that belong to a key. */
+/** Peer methods for calls that carry an idempotency key. */
 export const keyedCallMethods = {
-  /** Runs a keyed call at its home, or gives the answer that it remembers. */
+  /** Runs a keyed call on its home process, or returns the cached response. */
   run: 'answers.run',
-  /** Claims a caller's own key and runs the call, in the key's place. */
+  /** Claims a caller's own key in the place of the key, and runs the call. */
   claim: 'answers.claim',
-  /** Asks whether a host knows that a key was never claimed nor used. */
+  /** Asks a host whether it has seen neither a claim nor a use of a key. */
   unused: 'answers.unused',
-  /** Takes over the keys of a host that leaves. */
+  /** Takes over the keys of a process that shuts down. */
   adopt: 'answers.adopt',
-  /** Asks whether a host took over the keys of a process. */
+  /** Asks a host whether it has taken over the keys of a process. */
   adopted: 'answers.adopted',
 } as const;
--- a/packages/daemon/src/callers/tickets/keyed_call_router.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_router.ts
@@ -44,13 +44,13 @@
   readonly keyClaimer: KeyClaimer;
   readonly successors: SuccessorRegistry;
   readonly dispatcher: CallDispatcher;
-  /** How long a ticket may be used, in ms. */
+  /** How long a ticket is valid, in ms. */
   readonly ticketTtlMs: number;
-  /** How long a forwarded call may take where the caller names no deadline, in ms. */
+  /** Timeout of a forwarded call where the caller sets no deadline, in ms. */
   readonly defaultForwardTimeoutMs: number;
 }
 
-/** A process that may answer a key. */
+/** A process that runs the calls of a key. */
 interface HomeProcess {
   readonly place: string;
   readonly boot: string;
@@ -60,10 +60,11 @@
 const FORWARD_TIMEOUT_MARGIN_MS = 2_000;
 
 /**
- * Calls that carry a key. Each key has one home process, and only that process
- * dispatches the call: a ticket names it; a caller's own key for a call that may
- * not be repeated is claimed in the log; any other key goes to a host of the place
- * by hash. When the home is gone, the outcome is unknown and there is no second run.
+ * Routes calls that carry an idempotency key. Each key has one home process, and only
+ * that process dispatches the call: a ticket names it; a caller's own key for a call
+ * that must run at most once is claimed in the log; any other key is assigned to a host
+ * of the place by hash. When the home is gone, the outcome is unknown and the call is
+ * not run again.
  */
 export class KeyedCallRouter implements Service {
   readonly name = 'keyed answers';
@@ -72,14 +73,9 @@
     this.registerMethods();
   }
 
-  /** Gives a ticket whose home is this process. */
+  /** Issues a ticket whose home is this process. */
   issueTicket(workspace: string): {ticket: string; expiresInMs: number} {
-    const {
-      clock,
-      identity,
-      ticketSealer: seal,
-      ticketTtlMs: ticketLifeMs,
-    } = this.options;
+    const {clock, identity, ticketSealer, ticketTtlMs} = this.options;
     const ticket: Ticket = {
       id: randomUUID(),
       workspace,
@@ -87,12 +83,12 @@
       place: identity.place,
       boot: identity.boot,
       address: identity.peerAddress,
-      expiresAt: Math.round(clock.wall() + ticketLifeMs),
+      expiresAt: Math.round(clock.wall() + ticketTtlMs),
     };
-    return {ticket: seal.seal(ticket), expiresInMs: ticketLifeMs};
+    return {ticket: ticketSealer.seal(ticket), expiresInMs: ticketTtlMs};
   }
 
-  /** Answers a call that carries `key`. */
+  /** Handles a call that carries `key`. */
   async handle(key: string, call: AuthenticatedCall): Promise<StoredResponse> {
     if (this.options.ticketSealer.isTicket(key))
       return this.handleTicketCall(key, call);
@@ -107,7 +103,7 @@
 
   async start(): Promise<void> {}
 
-  /** Hands the keys of this process to a companion, so that answers given here stay known. */
+  /** Hands the keys of this process off to a peer, so that its responses stay available. */
   async stop(): Promise<void> {
     await this.options.successors.handOff(
       await this.options.callRunner.cache.listUsedKeys(),
@@ -118,8 +114,8 @@
     key: string,
     call: AuthenticatedCall,
   ): Promise<StoredResponse> {
-    const {ticketSealer: seal, clock} = this.options;
-    const ticket = seal.open(key, call.workspace).caseOf({
+    const {ticketSealer, clock} = this.options;
+    const ticket = ticketSealer.open(key, call.workspace).caseOf({
       Left: problem => {
         throw problem;
       },
@@ -130,7 +126,7 @@
     return this.runAtHome(ticket, ticket.id, {...call, billId: ticket.id});
   }
 
-  /** The claim is made by a host of the key's place, which never changes. */
+  /** Has the key claimed by a host of the key's place, which never changes. */
   private async handleClaimedCall(
     key: string,
     call: AuthenticatedCall,
@@ -168,22 +164,22 @@
     key: string,
     call: AuthenticatedCall,
   ): Promise<StoredResponse> {
-    const {keyClaimer: claims} = this.options;
-    return this.runAtHome(await claims.claimVacant(place, key), key, call);
+    const {keyClaimer} = this.options;
+    return this.runAtHome(await keyClaimer.claimVacant(place, key), key, call);
   }
 
   private async handleRetryableCall(
     key: string,
     call: AuthenticatedCall,
   ): Promise<StoredResponse> {
-    const {identity, membership, callRunner: home} = this.options;
+    const {identity, membership, callRunner} = this.options;
     const hosts = [
       identity.id,
       ...membership.listAvailablePeers().map(entry => entry.id),
     ];
     const [owner] = selectByRendezvousHash(hosts, key, 1);
     const entry = owner === identity.id ? undefined : membership.get(owner);
-    if (!entry) return home.runOnce(key, call);
+    if (!entry) return callRunner.runOnce(key, call);
     try {
       return await this.forward(entry.address, keyedCallMethods.run, key, call);
     } catch (error) {
@@ -192,7 +188,7 @@
         requestId: call.id,
         host: owner,
       });
-      return home.runOnce(key, call);
+      return callRunner.runOnce(key, call);
     }
   }
 
@@ -201,9 +197,9 @@
     key: string,
     call: AuthenticatedCall,
   ): Promise<StoredResponse> {
-    const {identity, callRunner: home, successors} = this.options;
+    const {identity, callRunner, successors} = this.options;
     if (target.boot === identity.boot || successors.hasAdopted(target.boot))
-      return home.runOnce(key, call);
+      return callRunner.runOnce(key, call);
     const successor = successors.getKnownAddress(target.boot);
     if (successor)
       return this.forward(successor, keyedCallMethods.run, key, call);
@@ -219,7 +215,7 @@
       const found = await successors.findAddress(target.boot, target.place);
       if (!found) throw error;
       return found === identity.peerAddress
-        ? home.runOnce(key, call)
+        ? callRunner.runOnce(key, call)
         : this.forward(found, keyedCallMethods.run, key, call);
     }
   }
@@ -231,7 +227,7 @@
     call: AuthenticatedCall,
     boot?: string,
   ): Promise<StoredResponse> {
-    const {client, tracing, defaultForwardTimeoutMs: forwardMs} = this.options;
+    const {client, tracing, defaultForwardTimeoutMs} = this.options;
     const message: ForwardedCall = {
       id: call.id,
       billId: call.billId,
@@ -243,7 +239,7 @@
       deadlineMs: call.deadlineMs,
     };
     const timeoutMs =
-      (call.deadlineMs ?? forwardMs) + FORWARD_TIMEOUT_MARGIN_MS;
+      (call.deadlineMs ?? defaultForwardTimeoutMs) + FORWARD_TIMEOUT_MARGIN_MS;
     const pool =
       method === keyedCallMethods.claim ? PeerPool.CLAIM : PeerPool.RUN;
     return tracing.run('peer call', call.trace, async inner => {
@@ -262,7 +258,7 @@
   }
 
   private registerMethods(): void {
-    const {methods, callRunner: home, identity, successors} = this.options;
+    const {methods, callRunner, identity, successors} = this.options;
     const params = z.strictObject({
       key: z.string(),
       boot: z.string().optional(),
@@ -275,7 +271,7 @@
         !successors.hasAdopted(boot)
       )
         throw new Error('the process that was asked for is gone');
-      return home
+      return callRunner
         .runOnce(key, this.createCall(call))
         .catch(error => bufferResponse(createErrorResponse(error, call.id)));
     });
--- a/packages/daemon/src/callers/tickets/keyed_call_runner.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_runner.ts
@@ -11,22 +11,22 @@
 interface Options {
   readonly clock: Clock;
   readonly dispatcher: CallDispatcher;
-  /** How long an answer is kept, in ms. */
+  /** How long a response is kept, in ms. */
   readonly retentionMs: number;
-  /** Bytes that kept answers may hold together. */
+  /** The total size of the responses that are kept, in bytes. */
   readonly maxCacheBytes: number;
 }
 
-/** Runs each keyed call once at this process and remembers what came of it. */
+/** Runs each keyed call once in this process and caches its response. */
 export class KeyedCallRunner {
   readonly cache: IdempotencyCache<StoredResponse>;
 
   constructor(private readonly options: Options) {
-    const {clock, retentionMs: keepMs, maxCacheBytes: bytesMost} = options;
+    const {clock, retentionMs, maxCacheBytes} = options;
     this.cache = new IdempotencyCache({
       clock,
-      retentionMs: keepMs,
-      maxBytes: bytesMost,
+      retentionMs,
+      maxBytes: maxCacheBytes,
       measureBytes: response => response.body.length,
     });
   }
@@ -35,15 +35,15 @@
     const started = this.cache.runOnce(key, fingerprintCall(call), () =>
       this.dispatch(call),
     );
-    const answer = await started.caseOf({
+    const response = await started.caseOf({
       Left: refusal => {
         throw createRefusalFailure(refusal);
       },
       Right: promise => promise,
     });
-    if (answer.headers[callerHeaders.outcome] === Outcome.NOT_RUN)
+    if (response.headers[callerHeaders.outcome] === Outcome.NOT_RUN)
       this.cache.release(key);
-    return answer;
+    return response;
   }
 
   private async dispatch(call: AuthenticatedCall): Promise<StoredResponse> {
@@ -55,7 +55,7 @@
   }
 }
 
-/** Two calls are the same request when method, path, task and body are. */
+/** Calls of a workspace count as the same request when method, path, task and body are equal. */
 function fingerprintCall(call: AuthenticatedCall): string {
   const head = [
     call.workspace,
--- a/packages/daemon/src/callers/tickets/successor_registry.ts
+++ b/packages/daemon/src/callers/tickets/successor_registry.ts
@@ -25,7 +25,7 @@
 
 const HAND_OFF_TIMEOUT_MS = 10_000;
 
-/** Which process speaks for the keys of one that left in good order. */
+/** Records which process took over the keys of a process that shut down in an orderly way. */
 export class SuccessorRegistry {
   private readonly adoptedBoots = new Set<string>();
   private readonly addressByBoot = new Map<string, string>();
@@ -34,17 +34,17 @@
     this.registerMethods();
   }
 
-  /** Whether this process took over the keys of `boot`. */
+  /** Whether this process has taken over the keys of `boot`. */
   hasAdopted(boot: string): boolean {
     return this.adoptedBoots.has(boot);
   }
 
-  /** The successor's address if it was found before. */
+  /** Returns the address of the successor of `boot` if it was found before. */
   getKnownAddress(boot: string): string | undefined {
     return this.addressByBoot.get(boot);
   }
 
-  /** Asks the hosts of a place which of them took over the keys of `boot`. */
+  /** Asks the hosts of a place which of them has taken over the keys of `boot`. */
   async findAddress(boot: string, place: string): Promise<string | undefined> {
     const {identity, membership, client} = this.options;
     if (this.adoptedBoots.has(boot)) return identity.peerAddress;
@@ -69,33 +69,33 @@
   }
 
   /**
-   * Makes one companion the successor of this process, which dispatches nothing any
-   * more. Only one is ever asked: when its reply is lost, it may still have agreed.
+   * Makes one peer the successor of this process, which no longer dispatches calls.
+   * Only one peer is ever asked, as it may have accepted even when its reply is lost.
    */
   async handOff(used: readonly UsedKey[]): Promise<void> {
     const {identity, membership, client, logger} = this.options;
-    const [companion] = membership.listAvailablePeers();
-    if (!companion) return;
+    const [peer] = membership.listAvailablePeers();
+    if (!peer) return;
     const params = {
       from: [identity.boot, ...this.adoptedBoots],
-      to: companion.id,
+      to: peer.id,
       used: [...used],
     };
     try {
-      await client.call(companion.address, keyedCallMethods.adopt, params, {
+      await client.call(peer.address, keyedCallMethods.adopt, params, {
         timeoutMs: HAND_OFF_TIMEOUT_MS,
       });
-      logger.info('keys handed over', {host: companion.id, keys: used.length});
+      logger.info('keys handed over', {host: peer.id, keys: used.length});
     } catch (error) {
       logger.warn('keys not known to be handed over', {
-        host: companion.id,
+        host: peer.id,
         error: String(error),
       });
     }
   }
 
   private registerMethods(): void {
-    const {methods, identity, cache: memory} = this.options;
+    const {methods, identity, cache} = this.options;
     const adoptParams = z.strictObject({
       from: z.array(z.string()),
       to: z.string(),
@@ -107,7 +107,7 @@
       ({from, to, used}) => {
         if (to !== identity.id) return false;
         for (const {key, fingerprint, answer} of used)
-          memory.adoptAnswer(key, fingerprint, answer);
+          cache.adoptAnswer(key, fingerprint, answer);
         from.forEach(boot => this.adoptedBoots.add(boot));
         return true;
       },
--- a/packages/daemon/src/limits/limits_plugin.ts
+++ b/packages/daemon/src/limits/limits_plugin.ts
@@ -6,7 +6,7 @@
 const limitsSection = {
   name: 'limits',
   shape: z.strictObject({
-    /** How many hosts the fleet has when all are up. */
+    /** The number of hosts in the fleet when all are up. */
     fleet: fields.number(1),
   }),
 };
@@ -15,7 +15,7 @@
   name: 'limits',
   sections: [limitsSection],
   install(container, settings) {
-    const limits = new WorkspaceRateLimiter({
+    const rateLimiter = new WorkspaceRateLimiter({
       clock: container.get(tokens.clock),
       store: container.get(daemonTokens.configurationStore),
       membership: container.get(daemonTokens.membership),
@@ -23,8 +23,10 @@
     });
     container
       .get(daemonTokens.localHostState)
-      .addContributor(() => ({demand: limits.measureDemand()}));
-    container.bind(daemonTokens.workspaceLimits).toConstantValue(limits);
+      .addContributor(() => ({demand: rateLimiter.measureDemand()}));
+    container
+      .bind(daemonTokens.workspaceRateLimiter)
+      .toConstantValue(rateLimiter);
   },
 };
 
--- a/packages/daemon/src/limits/workspace_rate_limiter.ts
+++ b/packages/daemon/src/limits/workspace_rate_limiter.ts
@@ -12,7 +12,7 @@
   readonly clock: Clock;
   readonly store: ConfigurationStore;
   readonly membership: Membership;
-  /** The fleet's size when every host is up: the base of the share of a host that is cut off. */
+  /** The number of hosts when all are up; a disconnected host derives its share from it. */
   readonly fleetHosts: number;
 }
 
@@ -25,26 +25,26 @@
 const DEMAND_WINDOW_MS = 5_000;
 const RESIZE_INTERVAL_MS = 500;
 
-/** Workspaces' limits, shared over the hosts by recent demand. */
+/** Enforces the rate limits of workspaces, divided among the hosts by recent demand. */
 export class WorkspaceRateLimiter {
   private readonly stateByWorkspace = new Map<string, WorkspaceState>();
 
   constructor(private readonly options: Options) {}
 
-  /** Counts a request; a problem when the workspace is over this host's part of its limit. */
+  /** Counts a request; returns a problem when the workspace exceeds this host's share of its limit. */
   admit(workspace: string): Problem | undefined {
     const limit = this.options.store.current.workspaces[workspace]?.limit;
     if (!limit) {
       this.stateByWorkspace.delete(workspace);
       return undefined;
     }
-    const gauge = this.getOrCreateState(workspace);
-    gauge.meter.mark();
-    const waitMs = this.getBucket(gauge, workspace, limit).take();
+    const state = this.getOrCreateState(workspace);
+    state.meter.mark();
+    const waitMs = this.getBucket(state, workspace, limit).take();
     return waitMs > 0 ? createRateLimitedProblem(limit, waitMs) : undefined;
   }
 
-  /** Recent requests a second at this host, by workspace with a limit. */
+  /** Measures the recent requests per second on this host, for each workspace with a limit. */
   measureDemand(): Record<string, number> {
     return Object.fromEntries(
       [...this.stateByWorkspace].map(([id, {meter}]) => [
@@ -55,39 +55,39 @@
   }
 
   private getBucket(
-    gauge: WorkspaceState,
+    state: WorkspaceState,
     workspace: string,
     limit: WorkspaceLimit,
   ): TokenBucket {
     const {clock} = this.options;
     const now = clock.now();
-    if (gauge.bucket && now - gauge.resizedAt < RESIZE_INTERVAL_MS)
-      return gauge.bucket;
-    const part = this.computeShare(gauge, workspace);
-    const perSecond = limit.requestsPerSecond * part;
-    const burst = Math.max(1, limit.burst * part);
-    gauge.resizedAt = now;
-    gauge.bucket ??= new TokenBucket({clock, perSecond, burst});
-    gauge.bucket.resize(perSecond, burst);
-    return gauge.bucket;
+    if (state.bucket && now - state.resizedAt < RESIZE_INTERVAL_MS)
+      return state.bucket;
+    const share = this.computeShare(state, workspace);
+    const perSecond = limit.requestsPerSecond * share;
+    const burst = Math.max(1, limit.burst * share);
+    state.resizedAt = now;
+    state.bucket ??= new TokenBucket({clock, perSecond, burst});
+    state.bucket.resize(perSecond, burst);
+    return state.bucket;
   }
 
-  private computeShare(gauge: WorkspaceState, workspace: string): number {
-    const {membership, fleetHosts: fleet} = this.options;
-    const ownDemand = gauge.meter.perSecond();
+  private computeShare(state: WorkspaceState, workspace: string): number {
+    const {membership, fleetHosts} = this.options;
+    const ownDemand = state.meter.perSecond();
     const totalDemand = Math.max(membership.sumDemand(workspace), ownDemand);
     return computeLimitShare({
       ownDemand,
       totalDemand,
       aliveHosts: membership.listAllHosts().length,
-      fleetHosts: fleet,
+      fleetHosts,
     });
   }
 
   private getOrCreateState(workspace: string): WorkspaceState {
-    let gauge = this.stateByWorkspace.get(workspace);
-    if (!gauge) {
-      gauge = {
+    let state = this.stateByWorkspace.get(workspace);
+    if (!state) {
+      state = {
         meter: new RateMeter({
           clock: this.options.clock,
           windowMs: DEMAND_WINDOW_MS,
@@ -95,9 +95,9 @@
         bucket: undefined,
         resizedAt: -Infinity,
       };
-      this.stateByWorkspace.set(workspace, gauge);
+      this.stateByWorkspace.set(workspace, state);
     }
-    return gauge;
+    return state;
   }
 }
 
