--- a/packages/daemon/src/callers/call_dispatcher.ts
+++ b/packages/daemon/src/callers/call_dispatcher.ts
@@ -30,7 +30,7 @@
     return this.options.completionHandler.handle(call);
   }
 
-  /** Whether the call may be sent to a runner at most once. */
+  /** Whether the call must run on a runner at most once. */
   isAtMostOnce(call: AuthenticatedCall): boolean {
     return (
       isServiceCall(call) && this.options.serviceHandler.isAtMostOnce(call)
--- a/packages/daemon/src/callers/caller_server.ts
+++ b/packages/daemon/src/callers/caller_server.ts
@@ -91,10 +91,12 @@
   async stop(): Promise<void> {
     const {clock, drainTimeoutMs, logger} = this.options;
     const stopped = this.server.stop();
-    const late = new AbortController();
-    const bound = sleep(clock, drainTimeoutMs, late.signal).then(() => 'late');
-    const first = await Promise.race([stopped, bound]);
-    late.abort();
+    const drainTimer = new AbortController();
+    const timedOut = sleep(clock, drainTimeoutMs, drainTimer.signal).then(
+      () => 'late',
+    );
+    const first = await Promise.race([stopped, timedOut]);
+    drainTimer.abort();
     if (first !== 'late') return;
     logger.warn('requests still open at the end of the drain were cut', {
       open: this.openRequests,
@@ -145,15 +147,15 @@
       {request_id: id, kind},
     );
     const trace = tracing.under(span);
-    const left = new AbortController();
+    const disconnected = new AbortController();
     response.on('close', () => {
-      if (!response.writableFinished) left.abort();
+      if (!response.writableFinished) disconnected.abort();
     });
     this.openRequests++;
     let answer: CallResponse;
     try {
       answer = await this.options.admissionController.handle(
-        createRawCall(request, {id, signal: left.signal, trace}),
+        createRawCall(request, {id, signal: disconnected.signal, trace}),
       );
     } catch (error) {
       answer = createErrorResponse(error, id);
--- a/packages/daemon/src/callers/services/service_call_handler.ts
+++ b/packages/daemon/src/callers/services/service_call_handler.ts
@@ -66,15 +66,15 @@
 
 /**
  * Handles `ANY /services/<service>/<path>`. A retryable call is retried on another
- * runner; any other is sent at most once, and when it is unclear whether it arrived,
- * the outcome is unknown.
+ * runner; any other is sent again only while it is known not to have run, and is
+ * otherwise reported with an unknown outcome.
  */
 export class ServiceCallHandler {
   private readonly retryBudget = new RetryBudget();
 
   constructor(private readonly options: Options) {}
 
-  /** Whether the call may be sent at most once. */
+  /** Whether the call must run at most once. */
   isAtMostOnce(call: AuthenticatedCall): boolean {
     const [service, path] = splitPath(call.path);
     return findServiceRoute(
--- a/packages/daemon/src/callers/tickets/keyed_call_router.ts
+++ b/packages/daemon/src/callers/tickets/keyed_call_router.ts
@@ -278,7 +278,7 @@
     methods.register(
       keyedCallMethods.unused,
       z.strictObject({key: z.string()}),
-      ({key: asked}) => !this.options.keyClaimer.hasSeen(asked),
+      ({key}) => !this.options.keyClaimer.hasSeen(key),
     );
     methods.register(keyedCallMethods.claim, params, ({key, call}) =>
       this.claimAndRun(key, this.createCall(call)).catch(error =>
