--- a/packages/client/src/command_context.ts
+++ b/packages/client/src/command_context.ts
@@ -6,7 +6,7 @@
   readonly api: OperatorApi;
   readonly flags: Flags;
   /** The words after the command's name. */
-  readonly words: readonly string[];
+  readonly args: readonly string[];
   readonly print: (text: string) => void;
   /** Asks the person at the terminal; false when there is none. */
   readonly ask: (question: string) => Promise<boolean>;
--- a/packages/client/src/commands/check_command.test.ts
+++ b/packages/client/src/commands/check_command.test.ts
@@ -12,10 +12,10 @@
 const folder = mkdtempSync(join(tmpdir(), 'bayspool-'));
 
 /** Checks files; gives the exit code and the lines printed. */
-async function check(...words: string[]): Promise<[ExitCode, string[]]> {
+async function check(...args: string[]): Promise<[ExitCode, string[]]> {
   const lines: string[] = [];
   const print = (text: string) => void lines.push(text);
-  const context = {words, print} as unknown as CommandContext;
+  const context = {args, print} as unknown as CommandContext;
   return [await checkCommand.run(context), lines];
 }
 
--- a/packages/client/src/commands/check_command.ts
+++ b/packages/client/src/commands/check_command.ts
@@ -19,14 +19,14 @@
   Exit codes
     0 all in order   2 a file is missing or of no known kind   3 faults were found
 `,
-  async run({words, print}) {
-    if (words.length === 0)
+  async run({args, print}) {
+    if (args.length === 0)
       throw new ClientFailure(
         'no file named; give the files to check',
         ExitCode.USAGE,
       );
     let hasFaults = false;
-    for (const path of words) {
+    for (const path of args) {
       const faults = await findFaults(path);
       if (faults.length === 0) print(`${path}: in order`);
       for (const fault of faults) print(`${path}: ${fault}`);
--- a/packages/client/src/commands/confirm_command.ts
+++ b/packages/client/src/commands/confirm_command.ts
@@ -3,7 +3,7 @@
 import type {Command} from '../command.js';
 import {confirmPlan} from '../confirm_plan.js';
 import {ExitCode} from '../exit_code.js';
-import type {PlanReply} from '../plan_reply.js';
+import type {PlanResponse} from '../plan_response.js';
 
 /** `bayspool confirm FILE`. */
 export const confirmCommand: Command = {
@@ -16,18 +16,18 @@
   Any host of the fleet takes the confirmation. Confirming twice is harmless.
 `,
   async run(context) {
-    return confirmPlan(context, readPlan(context.words[0]));
+    return confirmPlan(context, readPlan(context.args[0]));
   },
 };
 
-function readPlan(file: string | undefined): PlanReply {
+function readPlan(file: string | undefined): PlanResponse {
   if (file === undefined)
     throw new ClientFailure(
       'name the file of the plan; see bayspool confirm --help',
       ExitCode.USAGE,
     );
   try {
-    return JSON.parse(readFileSync(file, 'utf8')) as PlanReply;
+    return JSON.parse(readFileSync(file, 'utf8')) as PlanResponse;
   } catch (error) {
     throw new ClientFailure(
       `cannot read a plan from ${file}: ${error instanceof Error ? error.message : error}`,
--- a/packages/client/src/commands/explain_command.ts
+++ b/packages/client/src/commands/explain_command.ts
@@ -1,10 +1,10 @@
 import {ClientFailure} from '../client_failure.js';
 import type {Command} from '../command.js';
 import {ExitCode} from '../exit_code.js';
-import {describeStory} from '../explain/describe_story.js';
+import {describeTimeline} from '../explain/describe_timeline.js';
 import type {LogLine} from '../explain/log_line.js';
 import {readLogLines} from '../explain/read_log_lines.js';
-import {tellStory} from '../explain/tell_story.js';
+import {buildTimeline} from '../explain/build_timeline.js';
 
 /** `bayspool explain`. */
 export const explainCommand: Command = {
@@ -22,8 +22,8 @@
   Options
     --json   the story as JSON
 `,
-  async run({words, flags, print}) {
-    const [request, ...paths] = words;
+  async run({args, flags, print}) {
+    const [request, ...paths] = args;
     if (request === undefined)
       throw new ClientFailure(
         'no request named; give the id that the caller sent',
@@ -31,13 +31,15 @@
       );
     const lines: LogLine[] = [];
     for await (const line of readLogLines(paths)) lines.push(line);
-    const story = tellStory(lines, request);
+    const story = buildTimeline(lines, request);
     if (story.lines.length === 0)
       throw new ClientFailure(
         `no line names ${request}; check the id, add the logs of the other hosts, and look for lines_dropped`,
         ExitCode.UNKNOWN,
       );
-    print(flags.json ? JSON.stringify(story, null, 2) : describeStory(story));
+    print(
+      flags.json ? JSON.stringify(story, null, 2) : describeTimeline(story),
+    );
     return ExitCode.OK;
   },
 };
--- a/packages/client/src/commands/intent_command.ts
+++ b/packages/client/src/commands/intent_command.ts
@@ -3,8 +3,8 @@
 import {confirmPlan} from '../confirm_plan.js';
 import {ExitCode} from '../exit_code.js';
 import {describePlan} from '../output/describe_plan.js';
-import type {PlanReply} from '../plan_reply.js';
-import {intentFromWords} from './intent_from_words.js';
+import type {PlanResponse} from '../plan_response.js';
+import {parseIntent} from './parse_intent.js';
 
 /** `bayspool intent KIND SUBJECT`. */
 export const intentCommand: Command = {
@@ -32,10 +32,10 @@
     --json      print the plan or the verdict as JSON
 `,
   async run(context) {
-    const {api, flags, words, print} = context;
-    const plan = await api.post<PlanReply>(
+    const {api, flags, args, print} = context;
+    const plan = await api.post<PlanResponse>(
       'intents',
-      intentFromWords(words, flags),
+      parseIntent(args, flags),
     );
     if (flags.out === undefined) return confirmPlan(context, plan);
     writeFileSync(flags.out, `${JSON.stringify(plan, null, 2)}\n`);
--- a/packages/client/src/commands/intents_command.ts
+++ b/packages/client/src/commands/intents_command.ts
@@ -1,9 +1,9 @@
 import type {Command} from '../command.js';
 import {ExitCode} from '../exit_code.js';
-import {table} from '../output/table.js';
+import {formatTable} from '../output/format_table.js';
 
 /** One line of `GET /intents`. */
-interface Entry {
+interface IntentEntry {
   readonly intentId: string;
   readonly kind: string;
   readonly subject: string;
@@ -11,7 +11,7 @@
   readonly by: string;
 }
 
-const SHOWN_MOST = 20;
+const MAX_ROWS = 20;
 
 /** `bayspool intents`. */
 export const intentsCommand: Command = {
@@ -22,9 +22,9 @@
     bayspool intents [--json]
 `,
   async run({api, flags, print}) {
-    const {intents} = await api.get<{intents: Entry[]}>('intents');
+    const {intents} = await api.get<{intents: IntentEntry[]}>('intents');
     const rows = intents
-      .slice(0, SHOWN_MOST)
+      .slice(0, MAX_ROWS)
       .map(({intentId, kind, subject, accepted, by}) => [
         intentId,
         kind,
@@ -35,7 +35,7 @@
     print(
       flags.json
         ? JSON.stringify({intents})
-        : table(['ID', 'KIND', 'SUBJECT', 'VERDICT', 'BY'], rows),
+        : formatTable(['ID', 'KIND', 'SUBJECT', 'VERDICT', 'BY'], rows),
     );
     return ExitCode.OK;
   },
--- a/packages/client/src/commands/losses_command.ts
+++ b/packages/client/src/commands/losses_command.ts
@@ -7,7 +7,7 @@
 import {describeLosses} from '../losses/describe_losses.js';
 import {plotLosses} from '../losses/plot_losses.js';
 import {readCalls} from '../losses/read_calls.js';
-import {sumLosses} from '../losses/sum_losses.js';
+import {summarizeLosses} from '../losses/summarize_losses.js';
 
 /** `bayspool losses`. */
 export const lossesCommand: Command = {
@@ -25,16 +25,16 @@
     --json       the sums as JSON
     --out FILE   also a picture (SVG), a bar a second
 `,
-  async run({words, flags, print}) {
+  async run({args, flags, print}) {
     const lines: LogLine[] = [];
-    for await (const line of readLogLines(words)) lines.push(line);
+    for await (const line of readLogLines(args)) lines.push(line);
     const calls = readCalls(lines);
     if (calls.length === 0)
       throw new ClientFailure(
         'no request ended in these lines; give the logs of hosts that took requests',
         ExitCode.UNKNOWN,
       );
-    const summary = sumLosses(calls);
+    const summary = summarizeLosses(calls);
     if (flags.out !== undefined) writeFileSync(flags.out, plotLosses(summary));
     print(
       flags.json ? JSON.stringify(summary, null, 2) : describeLosses(summary),
--- a/packages/client/src/commands/intent_from_words.ts
+++ b/packages/client/src/commands/parse_intent.ts
@@ -5,7 +5,7 @@
 
 type Builder = (subject: string, flags: Flags) => object;
 
-const builders: Readonly<Record<string, Builder>> = {
+const BUILDERS: Readonly<Record<string, Builder>> = {
   'set-workspace': file => ({workspace: readJson(file)}),
   'allow-version': (version, {workspace, task, forbid}) => ({
     version,
@@ -35,17 +35,14 @@
 };
 
 /** Makes an intent out of the words and options of the command line; the host checks its fields. */
-export function intentFromWords(
-  words: readonly string[],
-  flags: Flags,
-): object {
-  const [kind, subject] = words;
-  const builder = Object.hasOwn(builders, kind ?? '')
-    ? builders[kind]
+export function parseIntent(args: readonly string[], flags: Flags): object {
+  const [kind, subject] = args;
+  const builder = Object.hasOwn(BUILDERS, kind ?? '')
+    ? BUILDERS[kind]
     : undefined;
   if (!builder) {
     throw new ClientFailure(
-      `unknown kind of intent ${kind ?? '(none)'}; use one of ${Object.keys(builders).join(', ')}`,
+      `unknown kind of intent ${kind ?? '(none)'}; use one of ${Object.keys(BUILDERS).join(', ')}`,
       ExitCode.USAGE,
     );
   }
--- a/packages/client/src/commands/sessions_command.ts
+++ b/packages/client/src/commands/sessions_command.ts
@@ -3,9 +3,9 @@
 import {ExitCode} from '../exit_code.js';
 import type {LogLine} from '../explain/log_line.js';
 import {readLogLines} from '../explain/read_log_lines.js';
-import {describeMoves} from '../sessions/describe_moves.js';
-import {findMoves} from '../sessions/find_moves.js';
-import {readSessionRuns} from '../sessions/read_session_runs.js';
+import {describeVersionChanges} from '../sessions/describe_version_changes.js';
+import {findVersionChanges} from '../sessions/find_version_changes.js';
+import {readSessionAttempts} from '../sessions/read_session_attempts.js';
 
 /** Longest gap inside a session where none is given: what the users' deployments set, in seconds. */
 const DEFAULT_GAP_S = 5;
@@ -27,17 +27,24 @@
   Options
     --json   the moves as JSON
 `,
-  async run({words, flags, print}) {
+  async run({args, flags, print}) {
     const lines: LogLine[] = [];
-    for await (const line of readLogLines(words)) lines.push(line);
-    const runs = readSessionRuns(lines);
+    for await (const line of readLogLines(args)) lines.push(line);
+    const runs = readSessionAttempts(lines);
     if (runs.length === 0)
       throw new ClientFailure(
         'no call of a session in these lines; give the logs of hosts that took requests with sessions',
         ExitCode.UNKNOWN,
       );
-    const moves = findMoves({runs, gapMs: DEFAULT_GAP_S * MS_PER_SECOND});
-    print(flags.json ? JSON.stringify(moves, null, 2) : describeMoves(moves));
+    const moves = findVersionChanges({
+      runs,
+      gapMs: DEFAULT_GAP_S * MS_PER_SECOND,
+    });
+    print(
+      flags.json
+        ? JSON.stringify(moves, null, 2)
+        : describeVersionChanges(moves),
+    );
     return ExitCode.OK;
   },
 };
--- a/packages/client/src/commands/status_command.ts
+++ b/packages/client/src/commands/status_command.ts
@@ -1,6 +1,6 @@
 import type {Command} from '../command.js';
 import {ExitCode} from '../exit_code.js';
-import {table} from '../output/table.js';
+import {formatTable} from '../output/format_table.js';
 
 /** `GET /status`, as far as it is shown. */
 interface FleetStatus {
@@ -57,12 +57,12 @@
   return [
     `Seen from ${status.host} in ${status.place}: configuration at offset ${status.offset}, ${age}`,
     '',
-    table(
+    formatTable(
       ['PLACE', 'HOSTS', 'AT OFFSET', 'RUNNING', 'HANDED OVER TO'],
       status.places.map(
         ({place, hosts, offsets, running, handed_over_to: to}) => [
           place,
-          hosts.map(hostText).join(' '),
+          hosts.map(formatHost).join(' '),
           Object.entries(offsets)
             .map(([offset, count]) => `${offset} (${count})`)
             .join(' '),
@@ -72,12 +72,12 @@
       ),
     ),
     '',
-    table(
+    formatTable(
       ['VERSION', 'STATE', 'GOOD', 'BAD', 'UNRATED', 'NOTE'],
-      status.versions.map(versionRow),
+      status.versions.map(toVersionRow),
     ),
     '',
-    table(
+    formatTable(
       ['RUNNER', 'PLACE', 'STATE', 'LOAD', 'VERSIONS'],
       status.runners.map(({id, place, fit, drained, load, versions}) => [
         id,
@@ -90,11 +90,11 @@
   ].join('\n');
 }
 
-function hostText({id, leaving}: {id: string; leaving: boolean}): string {
+function formatHost({id, leaving}: {id: string; leaving: boolean}): string {
   return leaving ? `${id} (leaving)` : id;
 }
 
-function versionRow({
+function toVersionRow({
   id,
   state,
   step,
--- a/packages/client/src/commands/watch_command.ts
+++ b/packages/client/src/commands/watch_command.ts
@@ -2,7 +2,7 @@
 import {ClientFailure} from '../client_failure.js';
 import type {Command} from '../command.js';
 import {ExitCode} from '../exit_code.js';
-import {table} from '../output/table.js';
+import {formatTable} from '../output/format_table.js';
 
 /** `GET /intents/<id>`, as far as it is shown. */
 interface IntentStatus {
@@ -22,8 +22,8 @@
   }[];
 }
 
-const INTERVAL_MS = 500;
-const SECOND_MS = 1_000;
+const POLL_INTERVAL_MS = 500;
+const MS_PER_SECOND = 1_000;
 
 /** `bayspool watch ID`. */
 export const watchCommand: Command = {
@@ -36,8 +36,8 @@
   Ends with 0 when the intent is done, 3 when it was rejected, 4 when it is not
   done in time or not known.
 `,
-  async run({api, flags, words, print}) {
-    const [id] = words;
+  async run({api, flags, args, print}) {
+    const [id] = args;
     if (id === undefined)
       throw new ClientFailure(
         'name the id of the intent; see bayspool watch --help',
@@ -46,12 +46,12 @@
     let shown = '';
     for (
       let waited = 0;
-      waited < flags.timeout * SECOND_MS;
-      waited += INTERVAL_MS
+      waited < flags.timeout * MS_PER_SECOND;
+      waited += POLL_INTERVAL_MS
     ) {
       const status = await api
         .get<IntentStatus>(`intents/${encodeURIComponent(id)}`)
-        .catch(ifUnknown);
+        .catch(ignoreUnknownIntent);
       const text = status
         ? describe(status)
         : 'The intent is not in the log yet.';
@@ -61,14 +61,14 @@
         if (flags.json) print(JSON.stringify(status));
         return status.accepted ? ExitCode.OK : ExitCode.REJECTED;
       }
-      await wait(INTERVAL_MS);
+      await wait(POLL_INTERVAL_MS);
     }
     if (flags.json) print(JSON.stringify({done: false, id}));
     return ExitCode.UNKNOWN;
   },
 };
 
-function ifUnknown(error: unknown): undefined {
+function ignoreUnknownIntent(error: unknown): undefined {
   if (error instanceof ClientFailure && error.message.startsWith('no intent'))
     return undefined;
   throw error;
@@ -87,5 +87,5 @@
   const state = status.done
     ? 'done'
     : `waits for ${status.waits_for.join('; ')}`;
-  return `${status.kind} ${status.subject}: ${state}\n${table(['PLACE', 'IN FORCE', 'NOTE'], rows)}`;
+  return `${status.kind} ${status.subject}: ${state}\n${formatTable(['PLACE', 'IN FORCE', 'NOTE'], rows)}`;
 }
--- a/packages/client/src/confirm_plan.ts
+++ b/packages/client/src/confirm_plan.ts
@@ -1,7 +1,7 @@
 import type {CommandContext} from './command_context.js';
 import {ExitCode} from './exit_code.js';
 import {describePlan} from './output/describe_plan.js';
-import type {PlanReply} from './plan_reply.js';
+import type {PlanResponse} from './plan_response.js';
 
 /** What the operator door answers to a confirmation. */
 interface Confirmation {
@@ -21,7 +21,7 @@
 /** Shows a plan, asks unless told not to, confirms it and tells the verdict. */
 export async function confirmPlan(
   context: CommandContext,
-  plan: PlanReply,
+  plan: PlanResponse,
 ): Promise<ExitCode> {
   const {api, flags, print} = context;
   if (!flags.yes) {
--- a/packages/client/src/explain/tell_story.test.ts
+++ b/packages/client/src/explain/build_timeline.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {describeStory} from './describe_story.js';
+import {describeTimeline} from './describe_timeline.js';
 import type {LogLine} from './log_line.js';
-import {tellStory} from './tell_story.js';
+import {buildTimeline} from './build_timeline.js';
 
 let steadyMs = 0;
 
@@ -26,7 +26,7 @@
 ];
 
 void test("a story holds the request's lines, what held before, and what changed meanwhile", () => {
-  const story = tellStory([...lines].reverse(), 'r-1');
+  const story = buildTimeline([...lines].reverse(), 'r-1');
   assert.deepEqual(
     story.lines.map(({event}) => event),
     ['request_accepted', 'runner_chosen', 'request_failed'],
@@ -46,7 +46,7 @@
 });
 
 void test('the text names host, inputs and outcome', () => {
-  const text = describeStory(tellStory(lines, 'r-1'));
+  const text = describeTimeline(buildTimeline(lines, 'r-1'));
   assert.match(text, /request r-1 at host-1/);
   assert.match(text, /configuration_in_force version=2/);
   assert.match(text, /ended with: request_failed status=502/);
--- a/packages/client/src/explain/tell_story.ts
+++ b/packages/client/src/explain/build_timeline.ts
@@ -1,9 +1,9 @@
 import {compareLines} from './compare_lines.js';
 import type {LogLine} from './log_line.js';
-import type {Story} from './story.js';
+import type {RequestTimeline} from './request_timeline.js';
 
 /** Changes of belief, and what each is about; the newest of a matter holds. */
-const MATTERS: Readonly<Record<string, string>> = {
+const TOPICS: Readonly<Record<string, string>> = {
   configuration_in_force: 'configuration',
   freshness_lost: 'freshness',
   freshness_regained: 'freshness',
@@ -30,12 +30,15 @@
 };
 
 /** Finds all that the lines tell of a request. */
-export function tellStory(all: readonly LogLine[], request: string): Story {
+export function buildTimeline(
+  all: readonly LogLine[],
+  request: string,
+): RequestTimeline {
   const lines = all.filter(line => line.request === request).sort(compareLines);
   const hosts = new Set(lines.map(line => line.host));
   const runners = new Set(lines.map(line => line.runner));
   const near = all
-    .filter(line => line.event in MATTERS && hosts.has(line.host))
+    .filter(line => line.event in TOPICS && hosts.has(line.host))
     .filter(({runner}) => runner === undefined || runners.has(runner))
     .sort(compareLines);
   const from = lines[0]?.time ?? '';
@@ -43,16 +46,16 @@
   return {
     request,
     lines,
-    beliefs: newestOfEach(near.filter(line => line.time <= from)),
+    beliefs: keepNewestByTopic(near.filter(line => line.time <= from)),
     changes: near.filter(line => line.time > from && line.time <= to),
   };
 }
 
-function newestOfEach(lines: readonly LogLine[]): LogLine[] {
+function keepNewestByTopic(lines: readonly LogLine[]): LogLine[] {
   const newest = new Map<string, LogLine>();
   for (const line of lines) {
     const about = String(line.runner ?? line.peer ?? line.service ?? '');
-    const key = `${line.host}|${MATTERS[line.event]}|${about}`;
+    const key = `${line.host}|${TOPICS[line.event]}|${about}`;
     newest.delete(key);
     newest.set(key, line);
   }
--- a/packages/client/src/explain/describe_story.ts
+++ b/packages/client/src/explain/describe_timeline.ts
@@ -1,17 +1,17 @@
 import {compareLines} from './compare_lines.js';
 import type {LogLine} from './log_line.js';
-import type {Story} from './story.js';
+import type {RequestTimeline} from './request_timeline.js';
 
 /** Fields that are left out of a line's text: they stand elsewhere or are the same for all. */
-const COMMON = new Set(['time', 'steadyMs', 'host', 'event', 'request']);
+const HIDDEN_FIELDS = new Set(['time', 'steadyMs', 'host', 'event', 'request']);
 
 /** A story as text: what held when the request began, then everything in order. */
-export function describeStory({
+export function describeTimeline({
   request,
   lines,
   beliefs,
   changes,
-}: Story): string {
+}: RequestTimeline): string {
   const begun = lines[0];
   const last = lines[lines.length - 1];
   const order = [...lines, ...changes].sort((a, b) => compareLines(a, b));
@@ -33,7 +33,7 @@
 
 function describe(line: LogLine): string {
   const fields = Object.entries(line)
-    .filter(([name, value]) => !COMMON.has(name) && value !== undefined)
+    .filter(([name, value]) => !HIDDEN_FIELDS.has(name) && value !== undefined)
     .map(([name, value]) => `${name}=${String(value)}`);
   return [line.event, ...fields].join(' ');
 }
--- a/packages/client/src/explain/story.ts
+++ b/packages/client/src/explain/request_timeline.ts
@@ -1,7 +1,7 @@
 import type {LogLine} from './log_line.js';
 
 /** What the logs tell of one request. */
-export interface Story {
+export interface RequestTimeline {
   readonly request: string;
   /** Its own lines, in order. */
   readonly lines: readonly LogLine[];
--- a/packages/client/src/losses/call_end.ts
+++ b/packages/client/src/losses/call_outcome.ts
@@ -1,5 +1,5 @@
 /** How a request ended, as its caller sees it. */
-const CallEnd = {
+const CallOutcome = {
   IN_TIME: 'in time',
   /** Answered, the first event or the whole answer after the latency target. */
   LATE: 'late',
@@ -11,6 +11,6 @@
   /** The caller left first. */
   LEFT: 'left',
 } as const;
-type CallEnd = (typeof CallEnd)[keyof typeof CallEnd];
+type CallOutcome = (typeof CallOutcome)[keyof typeof CallOutcome];
 
-export {CallEnd};
+export {CallOutcome};
--- a/packages/client/src/losses/call_record.ts
+++ b/packages/client/src/losses/call_record.ts
@@ -1,4 +1,4 @@
-import type {CallEnd} from './call_end.js';
+import type {CallOutcome} from './call_outcome.js';
 
 /** What the logs tell of one request that ended. */
 export interface CallRecord {
@@ -8,7 +8,7 @@
   readonly place: string;
   /** When it was taken, in whole seconds since the epoch. */
   readonly second: number;
-  readonly end: CallEnd;
+  readonly end: CallOutcome;
   /** Why it was not in time; empty if it was. */
   readonly reason: string;
   /** Answers of small models that were dropped, and the engine time that reading for them took, in ms. */
--- a/packages/client/src/losses/describe_losses.ts
+++ b/packages/client/src/losses/describe_losses.ts
@@ -1,4 +1,4 @@
-import {table} from '../output/table.js';
+import {formatTable} from '../output/format_table.js';
 import type {LossRow} from './loss_row.js';
 import type {LossSummary} from './loss_summary.js';
 
@@ -32,5 +32,5 @@
     ...[row.calls, row.inTime, row.late, row.refused, row.failed].map(String),
     ...[row.cut, row.left].map(String),
   ]);
-  return `${title}\n${table(HEAD, cells)}`;
+  return `${title}\n${formatTable(HEAD, cells)}`;
 }
--- a/packages/client/src/losses/losses.test.ts
+++ b/packages/client/src/losses/losses.test.ts
@@ -4,7 +4,7 @@
 import {describeLosses} from './describe_losses.js';
 import {plotLosses} from './plot_losses.js';
 import {readCalls} from './read_calls.js';
-import {sumLosses} from './sum_losses.js';
+import {summarizeLosses} from './summarize_losses.js';
 
 function line(event: string, request?: string, fields: object = {}): LogLine {
   const time = new Date(1_000_000).toISOString();
@@ -63,7 +63,7 @@
 });
 
 void test('sums are made by route, place, second and reason', () => {
-  const summary = sumLosses(readCalls(lines));
+  const summary = summarizeLosses(readCalls(lines));
   const [route] = summary.byRoute.filter(({name}) => name === 'r');
   assert.equal(route.calls, 5);
   assert.equal(route.inTime, 1);
--- a/packages/client/src/losses/read_calls.ts
+++ b/packages/client/src/losses/read_calls.ts
@@ -1,18 +1,20 @@
 import type {LogLine} from '../explain/log_line.js';
-import {CallEnd} from './call_end.js';
+import {CallOutcome} from './call_outcome.js';
 import type {CallRecord} from './call_record.js';
-import {explainDelay} from './explain_delay.js';
+import {findMainDelay} from './find_main_delay.js';
 
 /** The events that end a request, and what they mean. */
-const ENDS: Readonly<Record<string, CallEnd>> = {
-  request_answered: CallEnd.IN_TIME,
-  request_refused: CallEnd.REFUSED,
-  request_failed: CallEnd.FAILED,
-  request_cut: CallEnd.CUT,
-  caller_left: CallEnd.LEFT,
+const OUTCOMES: Readonly<Record<string, CallOutcome>> = {
+  request_answered: CallOutcome.IN_TIME,
+  request_refused: CallOutcome.REFUSED,
+  request_failed: CallOutcome.FAILED,
+  request_cut: CallOutcome.CUT,
+  caller_left: CallOutcome.LEFT,
 };
 /** Statuses that tell the caller that the request itself is wrong. */
-const DENIALS: ReadonlySet<unknown> = new Set([400, 401, 403, 404, 413, 431]);
+const CLIENT_ERROR_STATUSES: ReadonlySet<unknown> = new Set([
+  400, 401, 403, 404, 413, 431,
+]);
 const UNKNOWN = '?';
 const MS_PER_SECOND = 1_000;
 
@@ -28,9 +30,9 @@
     const own = open.get(line.request) ?? [];
     own.push(line);
     open.set(line.request, own);
-    if (!(line.event in ENDS)) continue;
+    if (!(line.event in OUTCOMES)) continue;
     open.delete(line.request);
-    if (!DENIALS.has(line.status))
+    if (!CLIENT_ERROR_STATUSES.has(line.status))
       calls.push(toRecord(own, line, places.get(line.host) ?? UNKNOWN));
   }
   return calls;
@@ -42,7 +44,7 @@
   place: string,
 ): CallRecord {
   const [first] = lines;
-  const end = toEnd(first, last);
+  const end = toOutcome(first, last);
   const dropped = lines.filter(line => line.outcome === 'weak');
   return {
     place,
@@ -52,29 +54,32 @@
     second: Math.floor(Date.parse(first.time) / MS_PER_SECOND),
     reason: toReason(lines, last, end),
     droppedAnswers: dropped.length,
-    droppedMs: dropped.reduce((sum, line) => sum + workOf(lines, line), 0),
+    droppedMs: dropped.reduce(
+      (sum, line) => sum + findPrefillMs(lines, line),
+      0,
+    ),
   };
 }
 
-function toEnd(first: LogLine, last: LogLine): CallEnd {
-  const end = ENDS[last.event];
-  if (end !== CallEnd.IN_TIME) return end;
+function toOutcome(first: LogLine, last: LogLine): CallOutcome {
+  const end = OUTCOMES[last.event];
+  if (end !== CallOutcome.IN_TIME) return end;
   const isLate = Number(last.firstMs) > Number(first.targetMs);
-  return isLate ? CallEnd.LATE : CallEnd.IN_TIME;
+  return isLate ? CallOutcome.LATE : CallOutcome.IN_TIME;
 }
 
 function toReason(
   lines: readonly LogLine[],
   last: LogLine,
-  end: CallEnd,
+  end: CallOutcome,
 ): string {
-  if (end === CallEnd.IN_TIME) return '';
-  if (end === CallEnd.LATE) return explainDelay(lines);
+  if (end === CallOutcome.IN_TIME) return '';
+  if (end === CallOutcome.LATE) return findMainDelay(lines);
   return String(last.reason ?? UNKNOWN);
 }
 
 /** Engine time that the attempt was expected to take for reading, in ms. */
-function workOf(lines: readonly LogLine[], ended: LogLine): number {
+function findPrefillMs(lines: readonly LogLine[], ended: LogLine): number {
   const chosen = lines.find(
     ({event, attempt}) =>
       event === 'runner_chosen' && attempt === ended.attempt,
--- a/packages/client/src/losses/sum_losses.ts
+++ b/packages/client/src/losses/summarize_losses.ts
@@ -1,20 +1,20 @@
-import {CallEnd} from './call_end.js';
+import {CallOutcome} from './call_outcome.js';
 import type {CallRecord} from './call_record.js';
 import type {LossRow} from './loss_row.js';
 import type {LossSummary} from './loss_summary.js';
 
 /** Sums the records up by route, place, second and reason. */
-export function sumLosses(calls: readonly CallRecord[]): LossSummary {
+export function summarizeLosses(calls: readonly CallRecord[]): LossSummary {
   const from = calls.reduce(
     (least, {second}) => Math.min(least, second),
     Infinity,
   );
-  const lost = calls.filter(({end}) => end !== CallEnd.IN_TIME);
-  const reasons = group(lost, ({end, reason}) => `${end}: ${reason}`);
+  const lost = calls.filter(({end}) => end !== CallOutcome.IN_TIME);
+  const reasons = groupCalls(lost, ({end, reason}) => `${end}: ${reason}`);
   return {
-    byRoute: group(calls, ({route}) => route),
-    byPlace: group(calls, ({place}) => place),
-    bySecond: group(calls, ({second}) => String(second - from)).sort(
+    byRoute: groupCalls(calls, ({route}) => route),
+    byPlace: groupCalls(calls, ({place}) => place),
+    bySecond: groupCalls(calls, ({second}) => String(second - from)).sort(
       (a, b) => Number(a.name) - Number(b.name),
     ),
     byReason: reasons.sort((a, b) => b.calls - a.calls),
@@ -23,7 +23,7 @@
   };
 }
 
-function group(
+function groupCalls(
   calls: readonly CallRecord[],
   nameOf: (call: CallRecord) => string,
 ): LossRow[] {
@@ -40,17 +40,17 @@
 }
 
 function toRow(name: string, calls: readonly CallRecord[]): LossRow {
-  const count = (wanted: CallEnd) =>
+  const count = (wanted: CallOutcome) =>
     calls.filter(({end}) => end === wanted).length;
   return {
     name,
     calls: calls.length,
-    inTime: count(CallEnd.IN_TIME),
-    late: count(CallEnd.LATE),
-    refused: count(CallEnd.REFUSED),
-    failed: count(CallEnd.FAILED),
-    cut: count(CallEnd.CUT),
-    left: count(CallEnd.LEFT),
+    inTime: count(CallOutcome.IN_TIME),
+    late: count(CallOutcome.LATE),
+    refused: count(CallOutcome.REFUSED),
+    failed: count(CallOutcome.FAILED),
+    cut: count(CallOutcome.CUT),
+    left: count(CallOutcome.LEFT),
   };
 }
 
--- a/packages/client/src/main.ts
+++ b/packages/client/src/main.ts
@@ -75,7 +75,7 @@
 }
 
 async function run(): Promise<ExitCode> {
-  const [name, ...words] = cli.input;
+  const [name, ...args] = cli.input;
   const command = commands.find(candidate => candidate.name === name);
   if (!command) {
     console.log(HELP);
@@ -90,7 +90,7 @@
   return command.run({
     api,
     flags,
-    words,
+    args,
     print: text => console.log(text),
     ask,
   });
--- a/packages/client/src/output/describe_plan.ts
+++ b/packages/client/src/output/describe_plan.ts
@@ -1,9 +1,9 @@
-import type {PlanReply} from '../plan_reply.js';
+import type {PlanResponse} from '../plan_response.js';
 
 const MINUTE_MS = 60_000;
 
 /** A plan for people. */
-export function describePlan(plan: PlanReply): string {
+export function describePlan(plan: PlanResponse): string {
   const steps = plan.steps.map((step, index) => `  ${index + 1}. ${step}`);
   const hazards = plan.hazards.map(hazard => `  ! ${hazard}`);
   return [
--- a/packages/client/src/output/table.ts
+++ b/packages/client/src/output/format_table.ts
@@ -1,8 +1,8 @@
 import Table from 'cli-table3';
 
-const WIDTH = 80;
+const MAX_WIDTH = 80;
 const PADDING = 2;
-const COLUMN_LEAST = 6;
+const MIN_COLUMN_WIDTH = 6;
 
 const BORDERLESS = {
   top: '',
@@ -23,11 +23,11 @@
 };
 
 /** Lays rows out in columns of at most 80 characters; what does not fit is wrapped. */
-export function table(
+export function formatTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const widths = fit(
+  const widths = shrinkWidths(
     head.map(
       (title, column) =>
         Math.max(title.length, ...rows.map(row => row[column].length)) +
@@ -51,13 +51,13 @@
 }
 
 /** Narrows the widest columns until all of them fit. */
-function fit(widths: readonly number[]): number[] {
+function shrinkWidths(widths: readonly number[]): number[] {
   const result = [...widths];
-  const room = WIDTH - (widths.length - 1);
+  const room = MAX_WIDTH - (widths.length - 1);
   let over = result.reduce((sum, width) => sum + width, 0) - room;
   while (over > 0) {
     const widest = result.indexOf(Math.max(...result));
-    if (result[widest] <= COLUMN_LEAST) break;
+    if (result[widest] <= MIN_COLUMN_WIDTH) break;
     result[widest]--;
     over--;
   }
--- a/packages/client/src/plan_reply.ts
+++ b/packages/client/src/plan_response.ts
@@ -1,5 +1,5 @@
 /** What the operator door answers to an intent. */
-export interface PlanReply {
+export interface PlanResponse {
   readonly id: string;
   /** The sealed plan, sent back to confirm it. */
   readonly plan: string;
--- a/packages/client/src/sessions/describe_moves.ts
+++ b/packages/client/src/sessions/describe_version_changes.ts
@@ -1,8 +1,10 @@
-import type {SessionRun} from './session_run.js';
-import type {VersionMove} from './version_move.js';
+import type {SessionAttempt} from './session_attempt.js';
+import type {VersionChange} from './version_change.js';
 
 /** Moves as text: the sums by cause, then each move with the two calls that show it. */
-export function describeMoves(moves: readonly VersionMove[]): string {
+export function describeVersionChanges(
+  moves: readonly VersionChange[],
+): string {
   if (moves.length === 0) return 'no session changed its version';
   return [
     `${moves.length} calls ran on another version than the one before them in their session`,
@@ -11,13 +13,13 @@
     '',
     ...moves.flatMap(({before, after}) => [
       `session ${after.session}`,
-      `  ${describeRun(before)}`,
-      `  ${describeRun(after)}`,
+      `  ${describeAttempt(before)}`,
+      `  ${describeAttempt(after)}`,
     ]),
   ].join('\n');
 }
 
-function countCauses(moves: readonly VersionMove[]): string[] {
+function countCauses(moves: readonly VersionChange[]): string[] {
   const counts = new Map<string, number>();
   for (const move of moves) {
     const cause = describeCause(move);
@@ -26,12 +28,12 @@
   return [...counts].map(([cause, count]) => `${count}  ${cause}`);
 }
 
-function describeCause({before, after}: VersionMove): string {
+function describeCause({before, after}: VersionChange): string {
   const hosts = before.host === after.host ? 'same host' : 'another host';
   return `${before.version} to ${after.version}, ${hosts}: ${after.reason}`;
 }
 
-function describeRun(run: SessionRun): string {
+function describeAttempt(run: SessionAttempt): string {
   const time = new Date(run.chosenMs).toISOString();
   const remembered = run.remembered ?? 'nothing';
   return `${time}  ${run.request} at ${run.host}: ${run.version}, ${run.reason}; remembered: ${remembered}`;
--- a/packages/client/src/sessions/find_moves.ts
+++ b/packages/client/src/sessions/find_version_changes.ts
@@ -1,8 +1,8 @@
-import type {SessionRun} from './session_run.js';
-import type {VersionMove} from './version_move.js';
+import type {SessionAttempt} from './session_attempt.js';
+import type {VersionChange} from './version_change.js';
 
 interface Options {
-  readonly runs: readonly SessionRun[];
+  readonly runs: readonly SessionAttempt[];
   /** Longest time between two calls that still belong to one session, in ms. */
   readonly gapMs: number;
 }
@@ -11,17 +11,17 @@
  * Finds calls whose last runner had another version than the runner that was chosen before it for another call of
  * the session. Calls of a session may overlap, so one that began earlier may be the later one: its stream broke off.
  */
-export function findMoves({runs, gapMs}: Options): VersionMove[] {
+export function findVersionChanges({runs, gapMs}: Options): VersionChange[] {
   const ordered = [...runs].sort((a, b) => a.chosenMs - b.chosenMs);
   return [...groupBySession(ordered)].flatMap(session =>
-    movesOf(session, gapMs),
+    findSessionChanges(session, gapMs),
   );
 }
 
 function groupBySession(
-  runs: readonly SessionRun[],
-): IterableIterator<SessionRun[]> {
-  const sessions = new Map<string, SessionRun[]>();
+  runs: readonly SessionAttempt[],
+): IterableIterator<SessionAttempt[]> {
+  const sessions = new Map<string, SessionAttempt[]>();
   for (const run of runs) {
     const key = `${run.service}|${run.session}`;
     const known = sessions.get(key);
@@ -32,9 +32,12 @@
 }
 
 /** The moves of one session, whose runs stand in the order in which they were chosen. */
-function movesOf(runs: readonly SessionRun[], gapMs: number): VersionMove[] {
+function findSessionChanges(
+  runs: readonly SessionAttempt[],
+  gapMs: number,
+): VersionChange[] {
   const lastOf = new Map(runs.map(run => [run.request, run]));
-  const moves: VersionMove[] = [];
+  const moves: VersionChange[] = [];
   runs.forEach((after, index) => {
     if (lastOf.get(after.request) !== after) return;
     const before = runs
--- a/packages/client/src/sessions/read_session_runs.ts
+++ b/packages/client/src/sessions/read_session_attempts.ts
@@ -1,12 +1,14 @@
 import type {LogLine} from '../explain/log_line.js';
-import type {SessionRun} from './session_run.js';
+import type {SessionAttempt} from './session_attempt.js';
 
 const UNKNOWN = '?';
 
 /** Makes a record of each runner that was chosen for a call with a session, in the order of the lines. */
-export function readSessionRuns(lines: Iterable<LogLine>): SessionRun[] {
+export function readSessionAttempts(
+  lines: Iterable<LogLine>,
+): SessionAttempt[] {
   const accepted = new Map<string, LogLine>();
-  const runs: SessionRun[] = [];
+  const runs: SessionAttempt[] = [];
   for (const line of lines) {
     const {request, event} = line;
     if (request === undefined) continue;
@@ -15,12 +17,12 @@
     const first = accepted.get(request);
     // A call without a session belongs to none; without its first line, its session is not known.
     if (first?.session === undefined) continue;
-    runs.push(toRun(first, line));
+    runs.push(toAttempt(first, line));
   }
   return runs;
 }
 
-function toRun(first: LogLine, chosen: LogLine): SessionRun {
+function toAttempt(first: LogLine, chosen: LogLine): SessionAttempt {
   const {rememberedVersion} = chosen;
   return {
     request: String(chosen.request),
--- a/packages/client/src/sessions/session_run.ts
+++ b/packages/client/src/sessions/session_attempt.ts
@@ -1,5 +1,5 @@
 /** A runner chosen for a call of a session, and its version; a call that is tried again has several. */
-export interface SessionRun {
+export interface SessionAttempt {
   readonly request: string;
   readonly session: string;
   readonly service: string;
--- a/packages/client/src/sessions/sessions.test.ts
+++ b/packages/client/src/sessions/sessions.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {LogLine} from '../explain/log_line.js';
-import {describeMoves} from './describe_moves.js';
-import {findMoves} from './find_moves.js';
-import {readSessionRuns} from './read_session_runs.js';
+import {describeVersionChanges} from './describe_version_changes.js';
+import {findVersionChanges} from './find_version_changes.js';
+import {readSessionAttempts} from './read_session_attempts.js';
 
 const GAP_MS = 5_000;
 
@@ -40,8 +40,8 @@
 }
 
 function movesOf(calls: readonly Call[]) {
-  const runs = readSessionRuns(calls.flatMap(linesOf));
-  return findMoves({runs, gapMs: GAP_MS});
+  const runs = readSessionAttempts(calls.flatMap(linesOf));
+  return findVersionChanges({runs, gapMs: GAP_MS});
 }
 
 void test('a session that ran on two versions at two hosts is found', () => {
@@ -54,7 +54,7 @@
     moves.map(({before, after}) => [before.request, after.request]),
     [['a', 'b']],
   );
-  const text = describeMoves(moves);
+  const text = describeVersionChanges(moves);
   assert.match(text, /1 {2}v1 to v2, another host: in the share/);
   assert.match(text, /b at h2: v2, in the share; remembered: nothing/);
 });
@@ -65,7 +65,7 @@
     {request: 'b', second: 2, host: 'h1', versions: ['v1'], session: 's'},
   ]);
   assert.equal(moves.length, 0);
-  assert.equal(describeMoves(moves), 'no session changed its version');
+  assert.equal(describeVersionChanges(moves), 'no session changed its version');
 });
 
 void test('a call that is tried again while another one runs is the later one', () => {
