--- a/packages/client/src/check/ini_checker.ts
+++ b/packages/client/src/check/ini_checker.ts
@@ -1,7 +1,7 @@
 import type {FileChecker} from '@bayspool/kernel';
 import {Problem} from '@bayspool/kernel';
 
-/** Checks the settings of the product's own daemon, as the daemon itself does. */
+/** Checks the settings of bayspoold with the daemon's own code. */
 export class IniChecker implements FileChecker {
   readonly name = 'settings of bayspoold';
 
@@ -10,7 +10,7 @@
   }
 
   async findFaults(path: string): Promise<readonly string[]> {
-    // Loaded here only: the other commands do without the daemon.
+    // Imported on demand: no other command needs the daemon.
     const {createKernel} = await import('@bayspool/daemon');
     try {
       createKernel(path);
--- a/packages/client/src/check/load_checkers.ts
+++ b/packages/client/src/check/load_checkers.ts
@@ -1,7 +1,7 @@
 import type {FileChecker} from '@bayspool/kernel';
 import {IniChecker} from './ini_checker.js';
 
-/** The checkers of all kinds of files; those of the platform are loaded when a file is checked. */
+/** Loads the checkers of all kinds of files. The platform's are imported on demand, when a file is checked. */
 export async function loadCheckers(): Promise<readonly FileChecker[]> {
   const {DeployFileChecker, HostSettingsChecker} =
     await import('@bayspool/platform/checks');
--- a/packages/client/src/commands/check_command.test.ts
+++ b/packages/client/src/commands/check_command.test.ts
@@ -11,7 +11,7 @@
 const ROOT = resolve(fileURLToPath(import.meta.url), '../../../../..');
 const folder = mkdtempSync(join(tmpdir(), 'bayspool-'));
 
-/** Checks files; gives the exit code and the lines printed. */
+/** Runs `bayspool check`; returns the exit code and the printed lines. */
 async function check(...args: string[]): Promise<[ExitCode, string[]]> {
   const lines: string[] = [];
   const print = (text: string) => void lines.push(text);
@@ -25,7 +25,7 @@
   return path;
 }
 
-void test("the project's own files are in order", async () => {
+void test("the project's own files have no faults", async () => {
   const [code, lines] = await check(
     join(ROOT, 'deploy/system.toml'),
     join(ROOT, 'examples/demo.ini'),
@@ -33,7 +33,7 @@
   assert.equal(code, ExitCode.OK, lines.join('\n'));
 });
 
-void test('a file with faults is told line by line, and by the exit code', async () => {
+void test('each fault of a file is printed on its own line, and the exit code is REJECTED', async () => {
   const path = write('empty.toml', 'build = ""\n');
   const [code, lines] = await check(path);
   assert.equal(code, ExitCode.REJECTED);
@@ -41,14 +41,14 @@
   assert.ok(lines.every(line => line.startsWith(`${path}: `)));
 });
 
-void test("faults of a daemon's settings are told", async () => {
+void test("faults of a daemon's settings are printed", async () => {
   const path = write('faulty.ini', '[nonsense]\na = 1\n');
   const [code, lines] = await check(path);
   assert.equal(code, ExitCode.REJECTED);
   assert.match(lines.join('\n'), /nonsense/);
 });
 
-void test('a file that is missing or of no known kind is wrong usage', async () => {
+void test('a missing file, an unknown kind of file and no file at all are usage errors', async () => {
   const missing = join(folder, 'missing.toml');
   await assert.rejects(check(missing), {exitCode: ExitCode.USAGE});
   const other = write('other.txt', '');
--- a/packages/client/src/commands/explain_command.ts
+++ b/packages/client/src/commands/explain_command.ts
@@ -31,14 +31,16 @@
       );
     const lines: LogLine[] = [];
     for await (const line of readLogLines(paths)) lines.push(line);
-    const story = buildTimeline(lines, request);
-    if (story.lines.length === 0)
+    const timeline = buildTimeline(lines, request);
+    if (timeline.lines.length === 0)
       throw new ClientFailure(
         `no line names ${request}; check the id, add the logs of the other hosts, and look for lines_dropped`,
         ExitCode.UNKNOWN,
       );
     print(
-      flags.json ? JSON.stringify(story, null, 2) : describeTimeline(story),
+      flags.json
+        ? JSON.stringify(timeline, null, 2)
+        : describeTimeline(timeline),
     );
     return ExitCode.OK;
   },
--- a/packages/client/src/commands/intents_command.ts
+++ b/packages/client/src/commands/intents_command.ts
@@ -2,7 +2,7 @@
 import {ExitCode} from '../exit_code.js';
 import {formatTable} from '../output/format_table.js';
 
-/** One line of `GET /intents`. */
+/** One entry of `GET /intents`. */
 interface IntentEntry {
   readonly intentId: string;
   readonly kind: string;
--- a/packages/client/src/commands/parse_intent.ts
+++ b/packages/client/src/commands/parse_intent.ts
@@ -34,7 +34,7 @@
   }),
 };
 
-/** Makes an intent out of the words and options of the command line; the host checks its fields. */
+/** Builds an intent from the arguments and options of the command line; the host validates its fields. */
 export function parseIntent(args: readonly string[], flags: Flags): object {
   const [kind, subject] = args;
   const builder = Object.hasOwn(BUILDERS, kind ?? '')
--- a/packages/client/src/commands/sessions_command.ts
+++ b/packages/client/src/commands/sessions_command.ts
@@ -7,7 +7,7 @@
 import {findVersionChanges} from '../sessions/find_version_changes.js';
 import {readSessionAttempts} from '../sessions/read_session_attempts.js';
 
-/** Longest gap inside a session where none is given: what the users' deployments set, in seconds. */
+/** Longest gap between two calls of a session, in seconds; the value that the users' deployments set. */
 const DEFAULT_GAP_S = 5;
 const MS_PER_SECOND = 1_000;
 
@@ -30,20 +30,20 @@
   async run({args, flags, print}) {
     const lines: LogLine[] = [];
     for await (const line of readLogLines(args)) lines.push(line);
-    const runs = readSessionAttempts(lines);
-    if (runs.length === 0)
+    const attempts = readSessionAttempts(lines);
+    if (attempts.length === 0)
       throw new ClientFailure(
         'no call of a session in these lines; give the logs of hosts that took requests with sessions',
         ExitCode.UNKNOWN,
       );
-    const moves = findVersionChanges({
-      runs,
+    const changes = findVersionChanges({
+      attempts,
       gapMs: DEFAULT_GAP_S * MS_PER_SECOND,
     });
     print(
       flags.json
-        ? JSON.stringify(moves, null, 2)
-        : describeVersionChanges(moves),
+        ? JSON.stringify(changes, null, 2)
+        : describeVersionChanges(changes),
     );
     return ExitCode.OK;
   },
--- a/packages/client/src/commands/status_command.ts
+++ b/packages/client/src/commands/status_command.ts
@@ -2,7 +2,7 @@
 import {ExitCode} from '../exit_code.js';
 import {formatTable} from '../output/format_table.js';
 
-/** `GET /status`, as far as it is shown. */
+/** The fields of `GET /status` that the command prints. */
 interface FleetStatus {
   readonly host: string;
   readonly place: string;
--- a/packages/client/src/commands/watch_command.ts
+++ b/packages/client/src/commands/watch_command.ts
@@ -4,7 +4,7 @@
 import {ExitCode} from '../exit_code.js';
 import {formatTable} from '../output/format_table.js';
 
-/** `GET /intents/<id>`, as far as it is shown. */
+/** The fields of `GET /intents/<id>` that the command reads. */
 interface IntentStatus {
   readonly kind: string;
   readonly subject: string;
@@ -43,11 +43,11 @@
         'name the id of the intent; see bayspool watch --help',
         ExitCode.USAGE,
       );
-    let shown = '';
+    let lastText = '';
     for (
-      let waited = 0;
-      waited < flags.timeout * MS_PER_SECOND;
-      waited += POLL_INTERVAL_MS
+      let waitedMs = 0;
+      waitedMs < flags.timeout * MS_PER_SECOND;
+      waitedMs += POLL_INTERVAL_MS
     ) {
       const status = await api
         .get<IntentStatus>(`intents/${encodeURIComponent(id)}`)
@@ -55,8 +55,8 @@
       const text = status
         ? describe(status)
         : 'The intent is not in the log yet.';
-      if (!flags.json && text !== shown) print(text);
-      shown = text;
+      if (!flags.json && text !== lastText) print(text);
+      lastText = text;
       if (status?.done) {
         if (flags.json) print(JSON.stringify(status));
         return status.accepted ? ExitCode.OK : ExitCode.REJECTED;
--- a/packages/client/src/confirm_plan.ts
+++ b/packages/client/src/confirm_plan.ts
@@ -3,7 +3,7 @@
 import {describePlan} from './output/describe_plan.js';
 import type {PlanResponse} from './plan_response.js';
 
-/** What the operator door answers to a confirmation. */
+/** The operator API's response to a confirmation. */
 interface Confirmation {
   readonly verdict: 'accepted' | 'rejected' | 'unknown';
   readonly id: string;
@@ -18,7 +18,7 @@
   unknown: ExitCode.UNKNOWN,
 } as const;
 
-/** Shows a plan, asks unless told not to, confirms it and tells the verdict. */
+/** Prints a plan, asks the operator unless `--yes` is given, confirms the plan and prints the verdict. */
 export async function confirmPlan(
   context: CommandContext,
   plan: PlanResponse,
--- a/packages/client/src/exit_code.ts
+++ b/packages/client/src/exit_code.ts
@@ -1,12 +1,12 @@
-/** What the exit code of the command line means. */
+/** The exit codes of the command line. */
 const ExitCode = {
   OK: 0,
-  /** The daemon could not be reached, or it refused. */
+  /** The daemon could not be reached, or it refused the request. */
   FAILED: 1,
   USAGE: 2,
-  /** The intent was rejected. */
+  /** The intent was rejected, or `bayspool check` found faults. */
   REJECTED: 3,
-  /** The log did not answer: ask again with `bayspool watch ID`. */
+  /** The intent log did not answer, the intent is not done yet, or the logs hold nothing; `bayspool watch ID` asks again for an intent. */
   UNKNOWN: 4,
   /** The operator did not confirm. */
   NOT_CONFIRMED: 5,
--- a/packages/client/src/explain/build_timeline.test.ts
+++ b/packages/client/src/explain/build_timeline.test.ts
@@ -25,14 +25,14 @@
   line(7, 'request_failed', {request: 'r-1', status: 502}),
 ];
 
-void test("a story holds the request's lines, what held before, and what changed meanwhile", () => {
-  const story = buildTimeline([...lines].reverse(), 'r-1');
+void test("a timeline holds the request's lines, the state at its start, and the changes while it ran", () => {
+  const timeline = buildTimeline([...lines].reverse(), 'r-1');
   assert.deepEqual(
-    story.lines.map(({event}) => event),
+    timeline.lines.map(({event}) => event),
     ['request_accepted', 'runner_chosen', 'request_failed'],
   );
   assert.deepEqual(
-    story.beliefs.map(({event, version}) => [event, version]),
+    timeline.beliefs.map(({event, version}) => [event, version]),
     [
       ['configuration_in_force', 2],
       ['store_lost', undefined],
@@ -40,12 +40,12 @@
     ],
   );
   assert.deepEqual(
-    story.changes.map(({event}) => event),
+    timeline.changes.map(({event}) => event),
     ['runner_ejected'],
   );
 });
 
-void test('the text names host, inputs and outcome', () => {
+void test('the text names the host, the inputs and the outcome', () => {
   const text = describeTimeline(buildTimeline(lines, 'r-1'));
   assert.match(text, /request r-1 at host-1/);
   assert.match(text, /configuration_in_force version=2/);
--- a/packages/client/src/explain/build_timeline.ts
+++ b/packages/client/src/explain/build_timeline.ts
@@ -2,7 +2,7 @@
 import type {LogLine} from './log_line.js';
 import type {RequestTimeline} from './request_timeline.js';
 
-/** Changes of belief, and what each is about; the newest of a matter holds. */
+/** Events that change the state known to a host, and the topic of each; a newer event replaces an older one on its topic. */
 const TOPICS: Readonly<Record<string, string>> = {
   configuration_in_force: 'configuration',
   freshness_lost: 'freshness',
@@ -29,7 +29,7 @@
   key_withdrawn: 'key',
 };
 
-/** Finds all that the lines tell of a request. */
+/** Collects the lines of a request, the state known to its hosts when it began, and the changes while it ran. */
 export function buildTimeline(
   all: readonly LogLine[],
   request: string,
@@ -37,7 +37,7 @@
   const lines = all.filter(line => line.request === request).sort(compareLines);
   const hosts = new Set(lines.map(line => line.host));
   const runners = new Set(lines.map(line => line.runner));
-  const near = all
+  const related = all
     .filter(line => line.event in TOPICS && hosts.has(line.host))
     .filter(({runner}) => runner === undefined || runners.has(runner))
     .sort(compareLines);
@@ -46,16 +46,16 @@
   return {
     request,
     lines,
-    beliefs: keepNewestByTopic(near.filter(line => line.time <= from)),
-    changes: near.filter(line => line.time > from && line.time <= to),
+    beliefs: keepNewestByTopic(related.filter(line => line.time <= from)),
+    changes: related.filter(line => line.time > from && line.time <= to),
   };
 }
 
 function keepNewestByTopic(lines: readonly LogLine[]): LogLine[] {
   const newest = new Map<string, LogLine>();
   for (const line of lines) {
-    const about = String(line.runner ?? line.peer ?? line.service ?? '');
-    const key = `${line.host}|${TOPICS[line.event]}|${about}`;
+    const subject = String(line.runner ?? line.peer ?? line.service ?? '');
+    const key = `${line.host}|${TOPICS[line.event]}|${subject}`;
     newest.delete(key);
     newest.set(key, line);
   }
--- a/packages/client/src/explain/describe_timeline.ts
+++ b/packages/client/src/explain/describe_timeline.ts
@@ -2,27 +2,27 @@
 import type {LogLine} from './log_line.js';
 import type {RequestTimeline} from './request_timeline.js';
 
-/** Fields that are left out of a line's text: they stand elsewhere or are the same for all. */
+/** Fields omitted from the text of a line: they are printed elsewhere or are the same for all lines. */
 const HIDDEN_FIELDS = new Set(['time', 'steadyMs', 'host', 'event', 'request']);
 
-/** A story as text: what held when the request began, then everything in order. */
+/** Formats a timeline as text: the state when the request began, then all lines in ordered. */
 export function describeTimeline({
   request,
   lines,
   beliefs,
   changes,
 }: RequestTimeline): string {
-  const begun = lines[0];
+  const first = lines[0];
   const last = lines[lines.length - 1];
-  const order = [...lines, ...changes].sort((a, b) => compareLines(a, b));
+  const ordered = [...lines, ...changes].sort((a, b) => compareLines(a, b));
   return [
-    `request ${request} at ${begun.host}, ${begun.time}`,
+    `request ${request} at ${first.host}, ${first.time}`,
     '',
     'held when it began:',
     ...beliefs.map(line => `  ${line.time}  ${describe(line)}`),
     '',
     'what happened (own lines are marked *):',
-    ...order.map(
+    ...ordered.map(
       line =>
         `${line.request === request ? '* ' : '  '}${line.time}  ${describe(line)}`,
     ),
--- a/packages/client/src/explain/log_line.ts
+++ b/packages/client/src/explain/log_line.ts
@@ -1,12 +1,12 @@
-/** A line of a host's log. */
+/** One event of a host's structured log. */
 export interface LogLine {
-  /** Time of day at the host, ISO 8601; hosts may differ by some ms or, after a jump, by seconds. */
+  /** Time of day at the host, ISO 8601. Clocks of hosts may differ by some ms or, after a clock step, by seconds. */
   readonly time: string;
-  /** The host's steady clock, in ms; orders the lines of one start of a process. */
+  /** The process's monotonic clock, in ms; orders the lines of one incarnation of the process. */
   readonly steadyMs: number;
   readonly host: string;
   readonly event: string;
-  /** The id of the request that the line is about, if it is about one. */
+  /** The id of the request that the event concerns, if any. */
   readonly request?: string;
   readonly [field: string]: unknown;
 }
--- a/packages/client/src/explain/read_log_lines.ts
+++ b/packages/client/src/explain/read_log_lines.ts
@@ -3,10 +3,10 @@
 import type {LogLine} from './log_line.js';
 
 /**
- * Reads the log lines of several hosts; what stands before the first brace of a line is left out, as
- * collectors put their own words there. Lines that are no log line are skipped.
+ * Reads the log lines of several hosts. Text before the first brace of a line is ignored, because log collectors
+ * add prefixes. Lines that are not log events are skipped.
  *
- * @param paths files; standard input when there are none
+ * @param paths log files; reads standard input if empty
  */
 export async function* readLogLines(
   paths: readonly string[],
--- a/packages/client/src/explain/request_timeline.ts
+++ b/packages/client/src/explain/request_timeline.ts
@@ -1,12 +1,12 @@
 import type {LogLine} from './log_line.js';
 
-/** What the logs tell of one request. */
+/** The history of one request, from the logs. */
 export interface RequestTimeline {
   readonly request: string;
   /** Its own lines, in order. */
   readonly lines: readonly LogLine[];
-  /** What its host and its runners were believed to be when it began, the newest line of each matter. */
+  /** The state of its hosts and runners as the hosts knew it when it began: the newest line of each topic. */
   readonly beliefs: readonly LogLine[];
-  /** What changed at its host, or about its runners, while it ran. */
+  /** Changes at its hosts, or of its runners, while it ran. */
   readonly changes: readonly LogLine[];
 }
--- a/packages/client/src/flags.ts
+++ b/packages/client/src/flags.ts
@@ -1,4 +1,4 @@
-/** The options of the command line, after parsing. */
+/** The parsed options of the command line. */
 export interface Flags {
   readonly address: string;
   readonly key: string;
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command line as a library. */
+/** The operators' command line, as a library. */
 export {OperatorApi} from './operator_api.js';
 export {commands} from './commands.js';
--- a/packages/client/src/losses/call_outcome.ts
+++ b/packages/client/src/losses/call_outcome.ts
@@ -1,14 +1,14 @@
-/** How a request ended, as its caller sees it. */
+/** The outcome of a request, as its caller sees it. */
 const CallOutcome = {
   IN_TIME: 'in time',
-  /** Answered, the first event or the whole answer after the latency target. */
+  /** Answered, but the first event or the whole response came after the latency target. */
   LATE: 'late',
-  /** Refused before any runner was asked. */
+  /** Rejected before it was sent to a runner. */
   REFUSED: 'refused',
   FAILED: 'failed',
-  /** Broken off in the middle of its answer. */
+  /** Interrupted in the middle of its response. */
   CUT: 'cut',
-  /** The caller left first. */
+  /** The caller disconnected before the end. */
   LEFT: 'left',
 } as const;
 type CallOutcome = (typeof CallOutcome)[keyof typeof CallOutcome];
--- a/packages/client/src/losses/describe_losses.ts
+++ b/packages/client/src/losses/describe_losses.ts
@@ -13,7 +13,7 @@
   'left',
 ];
 
-/** A summary as text: a table a grouping. */
+/** Formats a summary as text, one table per grouping. */
 export function describeLosses(summary: LossSummary): string {
   const {byRoute, byPlace, bySecond, byReason} = summary;
   const droppedSeconds = (summary.droppedMs / 1_000).toFixed(1);
--- a/packages/client/src/losses/find_main_delay.ts
+++ b/packages/client/src/losses/find_main_delay.ts
@@ -1,6 +1,6 @@
 import type {LogLine} from '../explain/log_line.js';
 
-/** Why a late answer was late: the cause that took most of the time. */
+/** What can make an answer late. */
 const DelayCause = {
   WAITING: 'waiting at the runner',
   PREFILL: 'reading the prompt',
@@ -8,11 +8,11 @@
   RETRY: 'a retry',
 } as const;
 
-/** Names what took most of the time of an answer that came late. */
+/** Returns the cause that took most of the time of a late answer. */
 export function findMainDelay(lines: readonly LogLine[]): string {
-  const spent = new Map<string, number>();
+  const msByCause = new Map<string, number>();
   const add = (cause: string, ms: number) =>
-    spent.set(cause, (spent.get(cause) ?? 0) + ms);
+    msByCause.set(cause, (msByCause.get(cause) ?? 0) + ms);
   for (const line of lines) {
     if (line.event !== 'attempt_ended') continue;
     const chosen = lines.find(
@@ -25,8 +25,8 @@
       addFinalAttempt(add, tookMs, Number(chosen?.workMs ?? 0));
     else add(DelayCause.RETRY, tookMs);
   }
-  const [most] = [...spent].sort(([, a], [, b]) => b - a);
-  return most?.[0] ?? DelayCause.WAITING;
+  const [largest] = [...msByCause].sort(([, a], [, b]) => b - a);
+  return largest?.[0] ?? DelayCause.WAITING;
 }
 
 function addFinalAttempt(
@@ -34,7 +34,7 @@
   tookMs: number,
   workMs: number,
 ): void {
-  const readingMs = Math.min(tookMs, workMs);
-  add(DelayCause.PREFILL, readingMs);
-  add(DelayCause.WAITING, tookMs - readingMs);
+  const prefillMs = Math.min(tookMs, workMs);
+  add(DelayCause.PREFILL, prefillMs);
+  add(DelayCause.WAITING, tookMs - prefillMs);
 }
--- a/packages/client/src/losses/loss_row.ts
+++ b/packages/client/src/losses/loss_row.ts
@@ -1,6 +1,6 @@
-/** How the requests of one group ended. */
+/** The requests of one group, counted by outcome. */
 export interface LossRow {
-  /** The route, place, second or reason that the group has in common. */
+  /** The route, place, second or reason that the requests share. */
   readonly name: string;
   readonly calls: number;
   readonly inTime: number;
--- a/packages/client/src/losses/losses.test.ts
+++ b/packages/client/src/losses/losses.test.ts
@@ -15,7 +15,7 @@
   request: string,
   attempts: ReadonlyArray<{workMs: number; firstMs: number; outcome: string}>,
 ): LogLine[] {
-  const parts = attempts.flatMap(({workMs, firstMs, outcome}, index) => [
+  const attemptLines = attempts.flatMap(({workMs, firstMs, outcome}, index) => [
     line('runner_chosen', request, {attempt: index + 1, workMs}),
     line('attempt_ended', request, {
       attempt: index + 1,
@@ -24,10 +24,10 @@
       forMs: firstMs,
     }),
   ]);
-  const firstMs = attempts.reduce((sum, one) => sum + one.firstMs, 0);
+  const firstMs = attempts.reduce((sum, attempt) => sum + attempt.firstMs, 0);
   return [
     line('request_accepted', request, {route: 'r', targetMs: 1_000}),
-    ...parts,
+    ...attemptLines,
     line('request_answered', request, {firstMs, status: 200}),
   ];
 }
@@ -49,7 +49,7 @@
   line('request_refused', 'denied', {status: 404, reason: 'no route'}),
 ];
 
-void test('late answers are told apart by what took most of their time', () => {
+void test('a late answer is attributed to the cause that took most of its time', () => {
   const reasons = new Map(
     readCalls(lines).map(call => [call.request, call.reason]),
   );
@@ -62,7 +62,7 @@
   assert.equal(reasons.has('denied'), false);
 });
 
-void test('sums are made by route, place, second and reason', () => {
+void test('outcomes are counted by route, place, second and reason', () => {
   const summary = summarizeLosses(readCalls(lines));
   const [route] = summary.byRoute.filter(({name}) => name === 'r');
   assert.equal(route.calls, 5);
--- a/packages/client/src/losses/plot_losses.ts
+++ b/packages/client/src/losses/plot_losses.ts
@@ -2,10 +2,10 @@
 import type {LossRow} from './loss_row.js';
 import type {LossSummary} from './loss_summary.js';
 
-/** Size of the picture, in pixels. */
+/** Size of the chart, in pixels. */
 const WIDTH = 1_100;
 const HEIGHT = 420;
-/** What is stacked in a bar, from below, with its color. */
+/** The segments of a bar, from the bottom up, with their colors. */
 const SERIES: ReadonlyArray<
   readonly [name: string, color: string, valueOf: (row: LossRow) => number]
 > = [
@@ -17,7 +17,7 @@
   ['left', '#9a9a9a', row => row.left],
 ];
 
-/** A picture (SVG) of how requests ended, a bar a second. */
+/** Draws the outcomes of requests as an SVG chart, one bar per second. */
 export function plotLosses({bySecond}: LossSummary): string {
   const chart = init(null, null, {
     renderer: 'svg',
@@ -44,7 +44,7 @@
       data: bySecond.map(valueOf),
     })),
   });
-  const picture = chart.renderToSVGString();
+  const svg = chart.renderToSVGString();
   chart.dispose();
-  return picture;
+  return svg;
 }
--- a/packages/client/src/losses/read_calls.ts
+++ b/packages/client/src/losses/read_calls.ts
@@ -3,7 +3,7 @@
 import type {CallRecord} from './call_record.js';
 import {findMainDelay} from './find_main_delay.js';
 
-/** The events that end a request, and what they mean. */
+/** The events that end a request, and the outcome that each means. */
 const OUTCOMES: Readonly<Record<string, CallOutcome>> = {
   request_answered: CallOutcome.IN_TIME,
   request_refused: CallOutcome.REFUSED,
@@ -11,29 +11,31 @@
   request_cut: CallOutcome.CUT,
   caller_left: CallOutcome.LEFT,
 };
-/** Statuses that tell the caller that the request itself is wrong. */
+/** Statuses for a request that is itself invalid. */
 const CLIENT_ERROR_STATUSES: ReadonlySet<unknown> = new Set([
   400, 401, 403, 404, 413, 431,
 ]);
 const UNKNOWN = '?';
 const MS_PER_SECOND = 1_000;
 
-/** Makes a record of each request that ended; denials are left out, as they are not losses. */
+/** Makes a record of each finished request; invalid requests are left out, as they are not losses. */
 export function readCalls(lines: Iterable<LogLine>): CallRecord[] {
   const places = new Map<string, string>();
-  const open = new Map<string, LogLine[]>();
+  const linesByRequest = new Map<string, LogLine[]>();
   const calls: CallRecord[] = [];
   for (const line of lines) {
     if (line.event === 'process_started')
       places.set(line.host, String(line.place));
     if (line.request === undefined) continue;
-    const own = open.get(line.request) ?? [];
-    own.push(line);
-    open.set(line.request, own);
+    const requestLines = linesByRequest.get(line.request) ?? [];
+    requestLines.push(line);
+    linesByRequest.set(line.request, requestLines);
     if (!(line.event in OUTCOMES)) continue;
-    open.delete(line.request);
+    linesByRequest.delete(line.request);
     if (!CLIENT_ERROR_STATUSES.has(line.status))
-      calls.push(toRecord(own, line, places.get(line.host) ?? UNKNOWN));
+      calls.push(
+        toRecord(requestLines, line, places.get(line.host) ?? UNKNOWN),
+      );
   }
   return calls;
 }
@@ -78,7 +80,7 @@
   return String(last.reason ?? UNKNOWN);
 }
 
-/** Engine time that the attempt was expected to take for reading, in ms. */
+/** Expected engine time for the prefill of an attempt, in ms. */
 function findPrefillMs(lines: readonly LogLine[], ended: LogLine): number {
   const chosen = lines.find(
     ({event, attempt}) =>
--- a/packages/client/src/losses/summarize_losses.ts
+++ b/packages/client/src/losses/summarize_losses.ts
@@ -3,10 +3,10 @@
 import type {LossRow} from './loss_row.js';
 import type {LossSummary} from './loss_summary.js';
 
-/** Sums the records up by route, place, second and reason. */
+/** Counts the outcomes of requests by route, place, second and reason. */
 export function summarizeLosses(calls: readonly CallRecord[]): LossSummary {
-  const from = calls.reduce(
-    (least, {second}) => Math.min(least, second),
+  const firstSecond = calls.reduce(
+    (earliest, {second}) => Math.min(earliest, second),
     Infinity,
   );
   const lost = calls.filter(({end}) => end !== CallOutcome.IN_TIME);
@@ -14,9 +14,9 @@
   return {
     byRoute: groupCalls(calls, ({route}) => route),
     byPlace: groupCalls(calls, ({place}) => place),
-    bySecond: groupCalls(calls, ({second}) => String(second - from)).sort(
-      (a, b) => Number(a.name) - Number(b.name),
-    ),
+    bySecond: groupCalls(calls, ({second}) =>
+      String(second - firstSecond),
+    ).sort((a, b) => Number(a.name) - Number(b.name)),
     byReason: reasons.sort((a, b) => b.calls - a.calls),
     droppedAnswers: sum(calls, ({droppedAnswers}) => droppedAnswers),
     droppedMs: sum(calls, ({droppedMs}) => droppedMs),
@@ -30,18 +30,18 @@
   const groups = new Map<string, CallRecord[]>();
   for (const call of calls) {
     const name = nameOf(call);
-    const known = groups.get(name);
-    if (known) known.push(call);
+    const members = groups.get(name);
+    if (members) members.push(call);
     else groups.set(name, [call]);
   }
   return [...groups]
     .sort(([a], [b]) => (a < b ? -1 : 1))
-    .map(([name, own]) => toRow(name, own));
+    .map(([name, members]) => toRow(name, members));
 }
 
 function toRow(name: string, calls: readonly CallRecord[]): LossRow {
-  const count = (wanted: CallOutcome) =>
-    calls.filter(({end}) => end === wanted).length;
+  const count = (outcome: CallOutcome) =>
+    calls.filter(({end}) => end === outcome).length;
   return {
     name,
     calls: calls.length,
--- a/packages/client/src/operator_api.ts
+++ b/packages/client/src/operator_api.ts
@@ -3,14 +3,14 @@
 import {ExitCode} from './exit_code.js';
 
 interface Options {
-  /** As `127.0.0.1:8081`. */
+  /** IP address and port, such as `127.0.0.1:8081`. */
   readonly address: string;
   readonly key: string;
 }
 
 const TIMEOUT_MS = 15_000;
 
-/** The operator door of a host. */
+/** HTTP client for the operator API of a host. */
 export class OperatorApi {
   private readonly http: Got;
 
--- a/packages/client/src/output/describe_plan.ts
+++ b/packages/client/src/output/describe_plan.ts
@@ -2,7 +2,7 @@
 
 const MINUTE_MS = 60_000;
 
-/** A plan for people. */
+/** Formats a plan as text. */
 export function describePlan(plan: PlanResponse): string {
   const steps = plan.steps.map((step, index) => `  ${index + 1}. ${step}`);
   const hazards = plan.hazards.map(hazard => `  ! ${hazard}`);
--- a/packages/client/src/output/format_table.ts
+++ b/packages/client/src/output/format_table.ts
@@ -22,7 +22,7 @@
   middle: ' ',
 };
 
-/** Lays rows out in columns of at most 80 characters; what does not fit is wrapped. */
+/** Formats rows as columns, at most 80 characters wide in total; longer cells are wrapped. */
 export function formatTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
@@ -34,7 +34,7 @@
         PADDING,
     ),
   );
-  const laidOut = new Table({
+  const layout = new Table({
     head: [...head],
     colWidths: widths,
     wordWrap: true,
@@ -42,24 +42,24 @@
     chars: BORDERLESS,
     style: {head: [], border: [], 'padding-left': 0, 'padding-right': 1},
   });
-  laidOut.push(...rows.map(row => [...row]));
-  return laidOut
+  layout.push(...rows.map(row => [...row]));
+  return layout
     .toString()
     .split('\n')
     .map(line => line.trimEnd())
     .join('\n');
 }
 
-/** Narrows the widest columns until all of them fit. */
+/** Narrows the widest columns until the table fits, but none below the minimum. */
 function shrinkWidths(widths: readonly number[]): number[] {
   const result = [...widths];
-  const room = MAX_WIDTH - (widths.length - 1);
-  let over = result.reduce((sum, width) => sum + width, 0) - room;
-  while (over > 0) {
+  const available = MAX_WIDTH - (widths.length - 1);
+  let excess = result.reduce((sum, width) => sum + width, 0) - available;
+  while (excess > 0) {
     const widest = result.indexOf(Math.max(...result));
     if (result[widest] <= MIN_COLUMN_WIDTH) break;
     result[widest]--;
-    over--;
+    excess--;
   }
   return result;
 }
--- a/packages/client/src/plan_response.ts
+++ b/packages/client/src/plan_response.ts
@@ -1,7 +1,7 @@
-/** What the operator door answers to an intent. */
+/** The operator API's response to an intent. */
 export interface PlanResponse {
   readonly id: string;
-  /** The sealed plan, sent back to confirm it. */
+  /** The sealed plan; the client sends it back to confirm it. */
   readonly plan: string;
   readonly kind: string;
   readonly steps: readonly string[];
--- a/packages/client/src/sessions/describe_version_changes.ts
+++ b/packages/client/src/sessions/describe_version_changes.ts
@@ -1,17 +1,17 @@
 import type {SessionAttempt} from './session_attempt.js';
 import type {VersionChange} from './version_change.js';
 
-/** Moves as text: the sums by cause, then each move with the two calls that show it. */
+/** Formats version changes as text: the count of each cause, then each change with its two calls. */
 export function describeVersionChanges(
-  moves: readonly VersionChange[],
+  changes: readonly VersionChange[],
 ): string {
-  if (moves.length === 0) return 'no session changed its version';
+  if (changes.length === 0) return 'no session changed its version';
   return [
-    `${moves.length} calls ran on another version than the one before them in their session`,
+    `${changes.length} calls ran on another version than the one before them in their session`,
     '',
-    ...countCauses(moves),
+    ...countCauses(changes),
     '',
-    ...moves.flatMap(({before, after}) => [
+    ...changes.flatMap(({before, after}) => [
       `session ${after.session}`,
       `  ${describeAttempt(before)}`,
       `  ${describeAttempt(after)}`,
@@ -19,10 +19,10 @@
   ].join('\n');
 }
 
-function countCauses(moves: readonly VersionChange[]): string[] {
+function countCauses(changes: readonly VersionChange[]): string[] {
   const counts = new Map<string, number>();
-  for (const move of moves) {
-    const cause = describeCause(move);
+  for (const change of changes) {
+    const cause = describeCause(change);
     counts.set(cause, (counts.get(cause) ?? 0) + 1);
   }
   return [...counts].map(([cause, count]) => `${count}  ${cause}`);
@@ -33,8 +33,8 @@
   return `${before.version} to ${after.version}, ${hosts}: ${after.reason}`;
 }
 
-function describeAttempt(run: SessionAttempt): string {
-  const time = new Date(run.chosenMs).toISOString();
-  const remembered = run.remembered ?? 'nothing';
-  return `${time}  ${run.request} at ${run.host}: ${run.version}, ${run.reason}; remembered: ${remembered}`;
+function describeAttempt(attempt: SessionAttempt): string {
+  const time = new Date(attempt.chosenMs).toISOString();
+  const remembered = attempt.remembered ?? 'nothing';
+  return `${time}  ${attempt.request} at ${attempt.host}: ${attempt.version}, ${attempt.reason}; remembered: ${remembered}`;
 }
--- a/packages/client/src/sessions/read_session_attempts.ts
+++ b/packages/client/src/sessions/read_session_attempts.ts
@@ -3,23 +3,23 @@
 
 const UNKNOWN = '?';
 
-/** Makes a record of each runner that was chosen for a call with a session, in the order of the lines. */
+/** Makes a record of each attempt of a call that has a session, in the order of the lines. */
 export function readSessionAttempts(
   lines: Iterable<LogLine>,
 ): SessionAttempt[] {
   const accepted = new Map<string, LogLine>();
-  const runs: SessionAttempt[] = [];
+  const attempts: SessionAttempt[] = [];
   for (const line of lines) {
     const {request, event} = line;
     if (request === undefined) continue;
     if (event === 'request_accepted') accepted.set(request, line);
     if (event !== 'runner_chosen') continue;
     const first = accepted.get(request);
-    // A call without a session belongs to none; without its first line, its session is not known.
+    // Skips calls without a session, and calls whose first line is missing: their session is not known.
     if (first?.session === undefined) continue;
-    runs.push(toAttempt(first, line));
+    attempts.push(toAttempt(first, line));
   }
-  return runs;
+  return attempts;
 }
 
 function toAttempt(first: LogLine, chosen: LogLine): SessionAttempt {
--- a/packages/client/src/sessions/session_attempt.ts
+++ b/packages/client/src/sessions/session_attempt.ts
@@ -1,4 +1,4 @@
-/** A runner chosen for a call of a session, and its version; a call that is tried again has several. */
+/** One attempt of a call of a session: the runner's version and why it was chosen. A retried call has several. */
 export interface SessionAttempt {
   readonly request: string;
   readonly session: string;
@@ -9,8 +9,8 @@
   /** When the runner was chosen, in ms since the epoch by the host's clock. */
   readonly chosenMs: number;
   readonly version: string;
-  /** What decided on the version; a question mark if the line does not tell. */
+  /** Why the version was chosen; a question mark if the line has no reason. */
   readonly reason: string;
-  /** The version that the host remembered of the session; undefined if it did not know it. */
+  /** The version that the host had stored for the session; undefined if it had none. */
   readonly remembered?: string;
 }
