--- a/packages/client/src/losses/describe_losses.ts
+++ b/packages/client/src/losses/describe_losses.ts
@@ -1,4 +1,4 @@
-import {table} from '../output/table.js';
+import {formatTable} from '../output/format_table.js';
 import type {LossRow} from './loss_row.js';
 import type {LossSummary} from './loss_summary.js';
 
@@ -13,7 +13,7 @@
   'left',
 ];
 
-/** A summary as text: a table a grouping. */
+/** Formats a summary as text, one table per grouping. */
 export function describeLosses(summary: LossSummary): string {
   const {byRoute, byPlace, bySecond, byReason} = summary;
   const droppedSeconds = (summary.droppedMs / 1_000).toFixed(1);
@@ -32,5 +32,5 @@
     ...[row.calls, row.inTime, row.late, row.refused, row.failed].map(String),
     ...[row.cut, row.left].map(String),
   ]);
-  return `${title}\n${table(HEAD, cells)}`;
+  return `${title}\n${formatTable(HEAD, cells)}`;
 }
--- a/packages/client/src/output/table.ts
+++ b/packages/client/src/output/format_table.ts
@@ -1,8 +1,8 @@
 import Table from 'cli-table3';
 
-const WIDTH = 80;
+const MAX_WIDTH = 80;
 const PADDING = 2;
-const COLUMN_LEAST = 6;
+const MIN_COLUMN_WIDTH = 6;
 
 const BORDERLESS = {
   top: '',
@@ -22,19 +22,19 @@
   middle: ' ',
 };
 
-/** Lays rows out in columns of at most 80 characters; what does not fit is wrapped. */
-export function table(
+/** Formats rows as columns, at most 80 characters wide in total; longer cells are wrapped. */
+export function formatTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const widths = fit(
+  const widths = shrinkWidths(
     head.map(
       (title, column) =>
         Math.max(title.length, ...rows.map(row => row[column].length)) +
         PADDING,
     ),
   );
-  const laidOut = new Table({
+  const layout = new Table({
     head: [...head],
     colWidths: widths,
     wordWrap: true,
@@ -42,24 +42,24 @@
     chars: BORDERLESS,
     style: {head: [], border: [], 'padding-left': 0, 'padding-right': 1},
   });
-  laidOut.push(...rows.map(row => [...row]));
-  return laidOut
+  layout.push(...rows.map(row => [...row]));
+  return layout
     .toString()
     .split('\n')
     .map(line => line.trimEnd())
     .join('\n');
 }
 
-/** Narrows the widest columns until all of them fit. */
-function fit(widths: readonly number[]): number[] {
+/** Narrows the widest columns until the table fits, but none below the minimum. */
+function shrinkWidths(widths: readonly number[]): number[] {
   const result = [...widths];
-  const room = WIDTH - (widths.length - 1);
-  let over = result.reduce((sum, width) => sum + width, 0) - room;
-  while (over > 0) {
+  const available = MAX_WIDTH - (widths.length - 1);
+  let excess = result.reduce((sum, width) => sum + width, 0) - available;
+  while (excess > 0) {
     const widest = result.indexOf(Math.max(...result));
-    if (result[widest] <= COLUMN_LEAST) break;
+    if (result[widest] <= MIN_COLUMN_WIDTH) break;
     result[widest]--;
-    over--;
+    excess--;
   }
   return result;
 }
