--- a/packages/gateway/src/calls/attempt_recorder.test.ts
+++ b/packages/gateway/src/calls/attempt_recorder.test.ts
@@ -41,9 +41,9 @@
   };
   const result = await fixture.call({
     agent: new Agent({keepAlive: false}),
-    pausesForMs: 1_600,
+    pauseReadingMs: 1_600,
   });
-  assert.ok(result.isWhole);
+  assert.ok(result.isComplete);
   assert.equal(first.received.length + second.received.length, 1);
   assert.deepEqual(
     fixture.events('attempt_ended').map(({outcome}) => outcome),
--- a/packages/gateway/src/calls/fatal_request.test.ts
+++ b/packages/gateway/src/calls/fatal_request.test.ts
@@ -12,7 +12,7 @@
 import {CallKind} from '@bayspool/decisions/calls';
 import type {CallerResult} from '../testing/caller_result.js';
 import {GatewayFixture} from '../testing/gateway_fixture.js';
-import {MortalRunners} from '../testing/mortal_runners.js';
+import {CrashingRunners} from '../testing/crashing_runners.js';
 
 const FATAL = 'the request that crashes runners';
 const BYSTANDER = 'a request that is only queued there';
@@ -40,12 +40,12 @@
   kind,
   count = 5,
   attempts = 3,
-}: Setup): Promise<MortalRunners> {
+}: Setup): Promise<CrashingRunners> {
   const targets = [{service: 'llm', weight: 1}];
   fixture.configure([{kind, attempts, targets, timeLimitMs: 4_000}]);
   const isStreamed = kind !== CallKind.SAFE;
   const options = {fixture, count, service: 'llm', fatalBody: FATAL};
-  const runners = new MortalRunners({...options, isStreamed});
+  const runners = new CrashingRunners({...options, isStreamed});
   await runners.start();
   return runners;
 }
@@ -74,13 +74,13 @@
   await startHosts(3);
   await send(FATAL);
   await waitQuarantined(3);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
   for (const host of [0, 1, 2, 0]) {
     const {status, headers} = await send(FATAL, host);
     assert.equal(status, UNAVAILABLE, 'it has not run');
     assert.ok(Number(headers['retry-after']) > 60, 'nor will it run soon');
   }
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
   for (const host of [0, 1, 2])
     assert.equal((await send('another request', host)).status, 200);
 });
@@ -91,10 +91,10 @@
   // A stream that may run only once is sent to one runner per call.
   for (const host of [0, 1, 2]) await send(FATAL, host);
   await waitQuarantined(3);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
   for (const host of [0, 1, 2])
     assert.equal((await send(FATAL, host)).status, UNAVAILABLE);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
 });
 
 void test('a host that starts later knows the quarantine, even after all other hosts have stopped', async () => {
@@ -107,7 +107,7 @@
   await fixture.startHost({host: 'host-3'});
   await fixture.waitReady(2);
   assert.equal((await send(FATAL, 2)).status, UNAVAILABLE);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
 });
 
 void test('hosts exchange the quarantine while the store is down', async () => {
@@ -119,7 +119,7 @@
   await send(FATAL);
   await waitQuarantined(2);
   assert.equal((await send(FATAL, 1)).status, UNAVAILABLE);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
 });
 
 void test('a request with a buffered response is quarantined after crashing three runners that ran nothing else', async () => {
@@ -127,19 +127,19 @@
   await startHosts(2);
   await send(FATAL);
   await waitQuarantined(2);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
   for (const host of [0, 1])
     assert.equal((await send(FATAL, host)).status, UNAVAILABLE);
-  assert.equal(runners.ended, CRASHES_TO_QUARANTINE);
+  assert.equal(runners.crashCount, CRASHES_TO_QUARANTINE);
 });
 
 void test('after one crash a request is sent to idle runners', async () => {
   const runners = await startRunners({kind: CallKind.SAFE});
   await startHosts(1);
   const others = ['a', 'b', 'c', 'd'].map(name => `long ${name}`);
-  for (const body of others) runners.waiting.add(body);
+  for (const body of others) runners.unansweredBodies.add(body);
   const waiting = others.slice(0, 3).map(body => send(body));
-  await fixture.waitFor(() => runners.arrivals.length === 3);
+  await fixture.waitFor(() => runners.receivedBodies.length === 3);
   await send(FATAL);
   const counted = fixture.events('runner_end_counted');
   const fatal = counted.filter(({isAlone}) => isAlone);
@@ -149,19 +149,19 @@
 
 /** Queues a bystander at the only runner, which a fatal request then crashes. */
 async function queueDuringCrash(
-  runners: MortalRunners,
+  runners: CrashingRunners,
   fatal: string,
   host: number,
 ): Promise<void> {
-  const {arrivals, ended} = runners;
-  const before = arrivals.length;
+  const {receivedBodies, crashCount} = runners;
+  const before = receivedBodies.length;
   const waiting = send(BYSTANDER, host);
-  await fixture.waitFor(() => arrivals.length > before);
+  await fixture.waitFor(() => receivedBodies.length > before);
   await send(fatal, host);
   await waiting;
-  assert.equal(runners.ended, ended + 1);
+  assert.equal(runners.crashCount, crashCount + 1);
   await fixture.waitFor(() => {
-    const id = `runner-${runners.ended + 1}`;
+    const id = `runner-${runners.crashCount + 1}`;
     const seen = fixture.events('runner_seen').filter(e => e.runner === id);
     return seen.length === fixture.hosts.length;
   });
@@ -171,12 +171,16 @@
   void test(`a request that is only queued at crashing runners is never quarantined: ${kind}`, async () => {
     const runners = await startRunners({kind, count: 1, attempts: 1});
     await startHosts(2);
-    runners.waiting.add(BYSTANDER);
+    runners.unansweredBodies.add(BYSTANDER);
     for (const fatal of ['one', 'two', 'three', 'one', 'two', 'three'])
-      await queueDuringCrash(runners, `${FATAL} ${fatal}`, runners.ended % 2);
+      await queueDuringCrash(
+        runners,
+        `${FATAL} ${fatal}`,
+        runners.crashCount % 2,
+      );
     // Wait until ambiguous crashes have been evaluated.
     await new Promise(resolve => setTimeout(resolve, 2_500));
-    runners.waiting.clear();
+    runners.unansweredBodies.clear();
     for (const host of [0, 1])
       assert.equal((await send(BYSTANDER, host)).status, 200);
   });
--- a/packages/gateway/src/calls/forwarding.test.ts
+++ b/packages/gateway/src/calls/forwarding.test.ts
@@ -188,7 +188,7 @@
   const result = await fixture.call();
   assert.equal(result.status, 200);
   assert.equal(result.body, 'up to here');
-  assert.equal(result.isFramed, false);
+  assert.equal(result.isSelfDelimited, false);
 });
 
 void test('a close-delimited response whose connection is reset is not passed on', async () => {
@@ -215,15 +215,18 @@
   first.script = () => undefined;
   const result = await fixture.call();
   assert.equal(result.status, 504);
-  assert.ok(result.forMs > 250 && result.forMs < 600, `${result.forMs} ms`);
+  assert.ok(
+    result.durationMs > 250 && result.durationMs < 600,
+    `${result.durationMs} ms`,
+  );
 });
 
 void test('the request to the runner is aborted when the caller disconnects', async () => {
   await serve(CallKind.SAFE, [first], {latencyTargetMs: 5_000});
   first.script = () => undefined;
-  await fixture.call({leaveAfterMs: 100}).catch(() => undefined);
+  await fixture.call({disconnectAfterMs: 100}).catch(() => undefined);
   const leftAt = performance.now();
-  await fixture.waitFor(() => first.left.length === 1);
+  await fixture.waitFor(() => first.abortedIds.length === 1);
   assert.ok(performance.now() - leftAt < 400);
 });
 
@@ -236,7 +239,7 @@
   };
   const result = await fixture.call();
   assert.equal(result.status, 200);
-  assert.ok(result.forMs < 600, `${result.forMs} ms`);
+  assert.ok(result.durationMs < 600, `${result.durationMs} ms`);
 });
 
 void test('a request with conflicting lengths is rejected and reaches no runner', async () => {
@@ -267,7 +270,7 @@
   await serve(CallKind.UNSAFE, [first], {timeLimitMs: 300});
   const result = await fixture.call({
     headers: {'content-length': '10'},
-    holdsBody: true,
+    sendsHeadersOnly: true,
   });
   assert.equal(result.status, 408);
   assert.equal(first.received.length, 0);
@@ -296,8 +299,8 @@
   await fixture
     .call({
       headers: {'content-length': '10', [names.requestId]: 'broken-body'},
-      holdsBody: true,
-      leaveAfterMs: 50,
+      sendsHeadersOnly: true,
+      disconnectAfterMs: 50,
     })
     .catch(() => undefined);
   await fixture.waitFor(() => fixture.events('caller_left').length === 1);
--- a/packages/gateway/src/calls/streams.test.ts
+++ b/packages/gateway/src/calls/streams.test.ts
@@ -60,7 +60,7 @@
   first.script = streamAll;
   const result = await fixture.call();
   assert.equal(result.body, ALL_EVENTS);
-  assert.ok(result.isWhole);
+  assert.ok(result.isComplete);
 });
 
 void test('a stream that is truncated inside an event continues at another runner', async () => {
@@ -74,7 +74,7 @@
   };
   const result = await fixture.call();
   assert.equal(result.body, ALL_EVENTS);
-  assert.ok(result.isWhole);
+  assert.ok(result.isComplete);
   const [resumed] = [...first.received, ...second.received].filter(
     ({headers}) => headers[names.lastEventId] !== undefined,
   );
@@ -122,7 +122,7 @@
   };
   const result = await fixture.call();
   assert.equal(result.body, event(1));
-  assert.equal(result.isWhole, false);
+  assert.equal(result.isComplete, false);
 });
 
 void test('a stream that may run only once is not retried', async () => {
@@ -133,7 +133,7 @@
     setTimeout(() => request.socket.destroy(), 30);
   };
   const result = await fixture.call();
-  assert.equal(result.isWhole, false);
+  assert.equal(result.isComplete, false);
   assert.equal(first.received.length + second.received.length, 1);
 });
 
@@ -166,7 +166,7 @@
   const headers = {[names.model]: '*', [names.promptSize]: '100,20'};
   const result = await fixture.call({headers});
   assert.equal(result.body, ALL_EVENTS);
-  assert.ok(result.isWhole);
+  assert.ok(result.isComplete);
   return [...first.received, ...second.received]
     .map(request => request.headers[names.model])
     .sort();
@@ -270,8 +270,8 @@
   let result = await fixture.call();
   while (first.received.length === 0) result = await fixture.call();
   assert.equal(result.body, ALL_EVENTS);
-  assert.equal(result.isWhole, true);
-  assert.ok(result.forMs < 2_000, `ended after ${result.forMs} ms`);
+  assert.equal(result.isComplete, true);
+  assert.ok(result.durationMs < 2_000, `ended after ${result.durationMs} ms`);
   const [resumed] = fresh.received.filter(
     ({headers}) => headers[names.lastEventId] !== undefined,
   );
@@ -298,5 +298,5 @@
   let result = await fixture.call();
   while (first.received.length === 0) result = await fixture.call();
   assert.equal(result.body, ALL_EVENTS);
-  assert.ok(result.isWhole);
+  assert.ok(result.isComplete);
 });
--- a/packages/gateway/src/discovery/cordon_registry.test.ts
+++ b/packages/gateway/src/discovery/cordon_registry.test.ts
@@ -130,8 +130,8 @@
   await waitCordoned();
   await fixture.waitFor(() => fixture.events('runner_seen').length === 2);
   finish();
-  for (const {body, isWhole} of await Promise.all(responses)) {
-    assert.ok(isWhole);
+  for (const {body, isComplete} of await Promise.all(responses)) {
+    assert.ok(isComplete);
     assert.equal(body, 'id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n');
   }
   assert.equal(near.received.length, 2);
--- a/packages/gateway/src/discovery/discovery.test.ts
+++ b/packages/gateway/src/discovery/discovery.test.ts
@@ -28,7 +28,7 @@
   const response = await fixture.call();
   assert.equal(response.status, 503);
   assert.ok(response.headers['retry-after']);
-  assert.equal(await fixture.readiness(), 503);
+  assert.equal(await fixture.fetchReadiness(), 503);
 });
 
 void test('calls with unknown routes or keys are rejected, others are forwarded', async () => {
@@ -71,7 +71,7 @@
   const refused = await fixture.call(withKey);
   assert.ok(refused.headers['retry-after']);
   assert.equal(runner.received.length, before);
-  assert.equal(await fixture.readiness(), 503);
+  assert.equal(await fixture.fetchReadiness(), 503);
   fixture.store.isDown = false;
   await fixture.waitFor(
     async () => (await fixture.call(withKey)).status === 200,
@@ -87,7 +87,7 @@
   fixture.store.isDown = true;
   await fixture.waitFor(() => fixture.events('freshness_lost').length > 0);
   assert.equal((await fixture.call(withKey)).status, 200);
-  assert.equal(await fixture.readiness(), 200);
+  assert.equal(await fixture.fetchReadiness(), 200);
   // Once the configuration is too old to rule out that an unknown key is new, which is a little later, the response is 503.
   const unknown = {headers: {[names.apiKey]: 'key-2'}};
   await fixture.waitFor(
--- a/packages/gateway/src/discovery/host_suspension.test.ts
+++ b/packages/gateway/src/discovery/host_suspension.test.ts
@@ -36,7 +36,7 @@
     const {status, headers} = await fixture.call(WITH_KEY);
     assert.equal(status, 503, 'the key may have been withdrawn meanwhile');
     assert.ok(headers['retry-after']);
-    assert.equal(await fixture.readiness(), 503);
+    assert.equal(await fixture.fetchReadiness(), 503);
     fixture.store.isDown = false;
     await fixture.waitReady();
     assert.equal((await fixture.call(WITH_KEY)).status, 200);
--- a/packages/gateway/src/host/declared_limit_exchange.test.ts
+++ b/packages/gateway/src/host/declared_limit_exchange.test.ts
@@ -14,8 +14,8 @@
   const log = new EventLog({clock, host: 'h', sink: {write: () => undefined}});
   put(fixture, bornAt);
   const limits = new DeclaredLimitExchange({clock, log, directory});
-  fixture.onLimit = (entry, change) => limits.recordChange(entry, change);
-  fixture.onGone = id => limits.removeRunner(id);
+  fixture.onLimitChange = (entry, change) => limits.recordChange(entry, change);
+  fixture.onRemoved = id => limits.removeRunner(id);
   const limit = () => directory.all()[0].limit;
   return {fixture, clock, limits, limit};
 }
--- a/packages/gateway/src/lifecycle/graceful_shutdown.test.ts
+++ b/packages/gateway/src/lifecycle/graceful_shutdown.test.ts
@@ -32,7 +32,7 @@
   const running = fixture.call();
   await fixture.waitFor(() => runner.received.length === 1);
   const shutDown = fixture.hosts[0].gateway.shutDown('test');
-  assert.equal(await fixture.readiness(), 503);
+  assert.equal(await fixture.fetchReadiness(), 503);
   runner.script = respondCompletely;
   const late = await fixture.call();
   assert.equal(late.status, 200);
--- a/packages/gateway/src/lifecycle/isolated_place.test.ts
+++ b/packages/gateway/src/lifecycle/isolated_place.test.ts
@@ -47,7 +47,7 @@
 void test('an isolated place becomes not ready two seconds before it refuses calls', async () => {
   await startHostPerPlace();
   const isolatedAt = isolateFirstHost();
-  await fixture.waitFor(async () => (await fixture.readiness()) === 503);
+  await fixture.waitFor(async () => (await fixture.fetchReadiness()) === 503);
   const notReadyAt = performance.now();
   assert.equal((await fixture.call({headers})).status, 200);
   await fixture.waitFor(
@@ -68,7 +68,7 @@
   await startHostPerPlace({honoursStaleKeys: true});
   isolateFirstHost();
   await new Promise(resolve => setTimeout(resolve, 4_000));
-  assert.equal(await fixture.readiness(), 200);
+  assert.equal(await fixture.fetchReadiness(), 200);
 });
 
 void test('hosts stay ready during an outage of the store while other places respond', async () => {
@@ -76,5 +76,5 @@
   separateStore.isDown = true;
   fixture.store.isDown = true;
   await new Promise(resolve => setTimeout(resolve, 2_000));
-  assert.equal(await fixture.readiness(), 200);
+  assert.equal(await fixture.fetchReadiness(), 200);
 });
--- a/packages/gateway/src/observability/events.test.ts
+++ b/packages/gateway/src/observability/events.test.ts
@@ -88,7 +88,7 @@
   for (let i = 0; i < 4; i++) await fixture.call();
   await expectEvents('retry_decided', 'request_failed', 'runner_ejected');
   first.script = () => undefined;
-  await fixture.call({leaveAfterMs: 50}).catch(() => undefined);
+  await fixture.call({disconnectAfterMs: 50}).catch(() => undefined);
   await expectEvents('caller_left');
   first.script = respondCompletely;
   await fixture.call({path: '/nowhere'});
--- a/packages/gateway/src/peers/host_directory.test.ts
+++ b/packages/gateway/src/peers/host_directory.test.ts
@@ -6,7 +6,7 @@
 import {TopicMirror} from '../records/topic_mirror.js';
 import type {HostEntry} from './host_entry.js';
 import {hostKey} from './host_key.js';
-import {unheardRefusals} from '../testing/unheard_refusals.js';
+import {createSilentReporter} from '../testing/create_silent_reporter.js';
 import {HostDirectory} from './host_directory.js';
 
 let clock: VirtualClock;
@@ -21,7 +21,7 @@
   clock = new VirtualClock();
   mirror = new TopicMirror(Topic.HOSTS);
   const log = new EventLog({clock, host: 'a1', sink: {write: () => undefined}});
-  const refusals = unheardRefusals();
+  const refusals = createSilentReporter();
   hostDirectory = new HostDirectory({
     clock,
     log,
--- a/packages/gateway/src/peers/seed_bootstrap.test.ts
+++ b/packages/gateway/src/peers/seed_bootstrap.test.ts
@@ -143,7 +143,7 @@
   for (const topic of [Topic.OPERATOR, Topic.RUNNERS])
     for (const {key, value} of fixture.store.records(topic))
       slow.put(topic, key, JSON.parse(value!) as object);
-  slow.newestMs = 100;
+  slow.snapshotDelayMs = 100;
   await fixture.startHost({}, slow);
   const {peerPort} = fixture.hosts[1].settings;
   const own = new MemoryRecordStore();
--- a/packages/gateway/src/peers/sync_protocol.test.ts
+++ b/packages/gateway/src/peers/sync_protocol.test.ts
@@ -8,7 +8,7 @@
 import {TopicMirror} from '../records/topic_mirror.js';
 import type {HostEntry} from './host_entry.js';
 import {LoadDigestRegistry} from './load_digest_registry.js';
-import {unheardRefusals} from '../testing/unheard_refusals.js';
+import {createSilentReporter} from '../testing/create_silent_reporter.js';
 import {HostDirectory} from './host_directory.js';
 import {SyncProtocol} from './sync_protocol.js';
 
@@ -22,7 +22,7 @@
 function createProtocol(name: string, isUrgentFor = () => false) {
   const mirror = new TopicMirror(Topic.HOSTS);
   const log = new EventLog({clock, host: name, sink: {write: () => undefined}});
-  const refusals = unheardRefusals();
+  const refusals = createSilentReporter();
   const self = host(name, 'a');
   const hostDirectory = new HostDirectory({
     clock,
--- a/packages/gateway/src/rollouts/exposure.test.ts
+++ b/packages/gateway/src/rollouts/exposure.test.ts
@@ -19,15 +19,17 @@
 
 void test('a bad version stays within its exposure bounds at any call rate and gets no calls after the rollback deadline', async () => {
   const faults: string[] = [];
-  for (const [fault, version] of Object.entries(RolloutScenarios.badVersions)) {
+  for (const [fault, version] of Object.entries(
+    RolloutScenarios.faultyVersions,
+  )) {
     for (const scenario of new RolloutScenarios({version}).all()) {
-      const {name, world} = scenario;
-      await world.play();
-      const excess = RolloutScenarios.tellExcess(scenario);
+      const {name, simulation} = scenario;
+      await simulation.runToLimit();
+      const excess = RolloutScenarios.describeExcess(scenario);
       faults.push(...excess.map(text => `${fault}: ${text}`));
-      await world.goOn(AFTER_DEADLINE_MS);
-      if (world.lateCalls > 0)
-        faults.push(`${fault}: ${name}: ${world.lateCalls} too late`);
+      await simulation.continueFor(AFTER_DEADLINE_MS);
+      if (simulation.lateCalls > 0)
+        faults.push(`${fault}: ${name}: ${simulation.lateCalls} too late`);
     }
   }
   assert.deepEqual(faults, []);
--- a/packages/gateway/src/rollouts/rollout_controller.test.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.test.ts
@@ -15,8 +15,8 @@
 afterEach(() => fixture.stop());
 
 void test('a version found bad while its start is being written is announced before it is reverted', async () => {
-  fixture.store.appendMs = SLOW_WRITE_MS;
-  fixture.breakFresh();
+  fixture.store.appendDelayMs = SLOW_WRITE_MS;
+  fixture.failCanary();
   fixture.order({durationMs: 20_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
@@ -27,7 +27,7 @@
 });
 
 void test('rollouts of two services ordered at once are both announced', async () => {
-  fixture.store.appendMs = SLOW_WRITE_MS;
+  fixture.store.appendDelayMs = SLOW_WRITE_MS;
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
   fixture.order({durationMs: 60_000});
--- a/packages/gateway/src/rollouts/rollouts.test.ts
+++ b/packages/gateway/src/rollouts/rollouts.test.ts
@@ -7,11 +7,11 @@
 
 let fixture: RolloutFixture;
 let old: ScriptedRunner;
-let fresh: ScriptedRunner;
+let canary: ScriptedRunner;
 
 beforeEach(async () => {
   fixture = new RolloutFixture();
-  ({old, fresh} = fixture);
+  ({old, canary} = fixture);
   await fixture.prepare();
 });
 
@@ -23,7 +23,7 @@
   await fixture.waitReady();
   const startedAt = performance.now();
   for (let i = 0; i < 60; i++) await fixture.call();
-  const early = fresh.received.length;
+  const early = canary.received.length;
   assert.ok(early < 20, `${early} of 60 early calls`);
   await fixture.waitFor(() => fixture.phases().includes('complete'));
   assert.ok(performance.now() - startedAt < 4_000);
@@ -43,28 +43,28 @@
         fixture.call({headers: {[headerNames.session]: session}}),
       ),
     );
-  fresh.stop();
+  canary.stop();
   await callAll();
   await callAll();
   fixture.order({durationMs: 20_000});
   await fixture.waitFor(() => fixture.events('rollout_ordered').length === 1);
-  const before = fresh.received.length;
+  const before = canary.received.length;
   await callAll();
-  assert.equal(fresh.received.length, before);
+  assert.equal(canary.received.length, before);
 });
 
 void test('a bad version gets no more calls and is reverted once', async () => {
   fixture.order({durationMs: 20_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
-  fixture.breakFresh();
+  fixture.failCanary();
   for (let i = 0; i < 300 && fixture.phases().at(-1) !== 'reverted'; i++)
     await fixture.call();
   await fixture.waitFor(() => fixture.phases().includes('reverted'));
-  const before = fresh.received.length;
+  const before = canary.received.length;
   assert.ok(before <= 50, `${before} calls of the bad version`);
   for (let i = 0; i < 40; i++) await fixture.call();
-  assert.equal(fresh.received.length, before);
+  assert.equal(canary.received.length, before);
   await new Promise(resolve => setTimeout(resolve, 1_500));
   assert.equal(fixture.phases().at(-1), 'reverted');
   assert.equal(fixture.phases().filter(phase => phase !== 'active').length, 1);
@@ -74,12 +74,12 @@
   fixture.order({durationMs: 20_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
-  const soundScript = fresh.script;
-  fixture.breakFresh();
+  const soundScript = canary.script;
+  fixture.failCanary();
   for (let i = 0; i < 300 && fixture.phases().at(-1) !== 'reverted'; i++)
     await fixture.call();
   await fixture.waitFor(() => fixture.phases().includes('reverted'));
-  fresh.script = soundScript;
+  canary.script = soundScript;
   fixture.order({durationMs: 3_000});
   await fixture.waitFor(() => fixture.phases().length === 3);
   await fixture.startHost({sessionKeptMs: 10});
@@ -91,16 +91,16 @@
     'active',
     'complete',
   ]);
-  const before = fresh.received.length;
+  const before = canary.received.length;
   await fixture.call({host: 1});
-  assert.equal(fresh.received.length, before + 1);
+  assert.equal(canary.received.length, before + 1);
 });
 
 void test('a phase is not written again when the response to the write was lost', async () => {
   fixture.order({durationMs: 1_000});
   await fixture.startHost({sessionKeptMs: 10});
   await fixture.waitReady();
-  fixture.store.losesAnswers = true;
+  fixture.store.losesResponses = true;
   await fixture.waitFor(() => fixture.phases().includes('complete'));
   await new Promise(resolve => setTimeout(resolve, 2_500));
   assert.equal(
@@ -141,7 +141,7 @@
   const other = new ScriptedRunner({id: 'fresh-2', version: 'v2'});
   const fail: ScriptedRunner['script'] = ({id}, response) =>
     response.writeHead(500, {[headerNames.requestId]: id}).end();
-  fresh.script = other.script = fail;
+  canary.script = other.script = fail;
   await fixture.addRunner(other);
   fixture.order({durationMs: 60_000});
   await fixture.startHost({sessionKeptMs: 10});
@@ -149,7 +149,7 @@
   const statuses = new Set<number>();
   // The hash of a call's id decides whether it goes to the new version, and ids continue from test to test: of 60 calls, none may.
   for (let i = 0; i < 200; i++) statuses.add((await fixture.call()).status);
-  assert.ok(fresh.received.length + other.received.length > 0);
+  assert.ok(canary.received.length + other.received.length > 0);
   assert.deepEqual([...statuses], [200]);
 });
 
--- a/packages/gateway/src/runners/declared_limit.test.ts
+++ b/packages/gateway/src/runners/declared_limit.test.ts
@@ -117,8 +117,8 @@
   await fixture.startHost();
   await fixture.waitReady();
   limitHeader = ['2', '3'];
-  const {status, isWhole} = await fixture.call();
-  assert.deepEqual([status, isWhole], [200, true]);
+  const {status, isComplete} = await fixture.call();
+  assert.deepEqual([status, isComplete], [200, true]);
   assert.equal(fixture.events('runner_limit_changed').length, 0);
   assert.equal(fixture.events('runner_limit_malformed').length, 1);
 });
--- a/packages/gateway/src/testing/caller_result.ts
+++ b/packages/gateway/src/testing/caller_result.ts
@@ -1,13 +1,13 @@
 import type {IncomingHttpHeaders} from 'node:http';
 
-/** What a caller saw of an answer. */
+/** The response to a call as its caller received it. */
 export interface CallerResult {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer's framing says that it is whole. */
-  readonly isWhole: boolean;
-  /** Whether its end was told by a length or chunks. */
-  readonly isFramed: boolean;
-  readonly forMs: number;
+  /** Whether the response is complete according to its framing. */
+  readonly isComplete: boolean;
+  /** Whether a content length or chunked encoding delimits the body, rather than the end of the connection. */
+  readonly isSelfDelimited: boolean;
+  readonly durationMs: number;
 }
--- a/packages/gateway/src/testing/mortal_runners.ts
+++ b/packages/gateway/src/testing/crashing_runners.ts
@@ -10,29 +10,29 @@
   readonly fixture: GatewayFixture;
   readonly count: number;
   readonly service?: string;
-  /** How the bodies of requests begin under which a runner ends. */
+  /** Prefix of the request bodies that crash a runner. */
   readonly fatalBody: string;
-  /** Whether answers are streams: the head of one tells that its run has begun. */
+  /** Whether responses are streams, whose headers show that the request has started to run. */
   readonly isStreamed: boolean;
 }
 
-/** Time from the begin of the fatal run to the end of its runner, in ms: what else waits there ends with it. */
-const FATAL_MS = 40;
+/** Time from the start of a fatal request to the crash, in ms: other requests that wait at the runner fail with it. */
+const CRASH_DELAY_MS = 40;
 
-/** Runners of one service that end when they run a certain request, and come back at once under other ids. */
-export class MortalRunners {
-  /** Runners that have ended so far. */
-  ended = 0;
-  /** Bodies of the requests that arrived, at all runners that ever ran. */
-  readonly arrivals: string[] = [];
-  /** Bodies of requests that runners leave waiting until they end. */
-  readonly waiting = new Set<string>();
+/** Runners of one service that crash on certain requests and restart at once under new ids. */
+export class CrashingRunners {
+  /** Number of crashes so far. */
+  crashCount = 0;
+  /** Bodies of all requests received, by current and former runners. */
+  readonly receivedBodies: string[] = [];
+  /** Bodies of requests that runners do not answer until they crash. */
+  readonly unansweredBodies = new Set<string>();
   private readonly running = new Set<ScriptedRunner>();
   private started = 0;
 
   constructor(private readonly options: Options) {}
 
-  /** Starts all of them. */
+  /** Starts all runners. */
   async start(): Promise<void> {
     for (let i = 0; i < this.options.count; i++) await this.add();
   }
@@ -43,33 +43,33 @@
     const runner: ScriptedRunner = new ScriptedRunner({
       id,
       service,
-      script: (request, response) => this.answer(runner, request, response),
+      script: (request, response) => this.respond(runner, request, response),
     });
     this.running.add(runner);
     await fixture.addRunner(runner);
   }
 
-  private answer(
+  private respond(
     runner: ScriptedRunner,
     {id, body}: ReceivedRequest,
     response: ServerResponse,
   ): void {
     const {fatalBody, isStreamed} = this.options;
-    this.arrivals.push(body);
+    this.receivedBodies.push(body);
     const head = {[names.requestId]: id, [names.signature]: runner.entry.id};
     if (body.startsWith(fatalBody)) {
       if (isStreamed) response.writeHead(200, head).flushHeaders();
-      setTimeout(() => void this.end(runner), FATAL_MS);
+      setTimeout(() => void this.crash(runner), CRASH_DELAY_MS);
       return;
     }
-    if (this.waiting.has(body)) return;
+    if (this.unansweredBodies.has(body)) return;
     response.writeHead(200, head);
     response.end(isStreamed ? 'id: 1\ndata: a\n\n' : 'whole');
   }
 
-  private async end(runner: ScriptedRunner): Promise<void> {
+  private async crash(runner: ScriptedRunner): Promise<void> {
     if (!this.running.delete(runner)) return;
-    this.ended += 1;
+    this.crashCount += 1;
     const {id} = runner.entry;
     runner.stop();
     await this.add();
--- a/packages/gateway/src/testing/directory_fixture.ts
+++ b/packages/gateway/src/testing/directory_fixture.ts
@@ -14,19 +14,20 @@
 import type {LimitChange} from '../runners/limit_change.js';
 import {Runner} from '../runners/runner.js';
 
-/** A directory of runners on a copy of their topic, without a network, for tests of what entries do. */
+/** A runner directory on an in-memory topic mirror, without a network, for tests of runner entries. */
 export class DirectoryFixture {
   readonly clock = new VirtualClock();
   readonly metrics = new GatewayMetrics();
   readonly lines: Array<Record<string, unknown>> = [];
   readonly prefixes = new PrefixCacheIndex({clock: this.clock});
   readonly directory: RunnerDirectory;
-  /** Told of each runner that is no longer known. */
-  onGone: (id: string) => void = () => undefined;
-  /** Told when what is known of a runner's limit has changed. */
-  onLimit: (entry: RunnerEntry, change: LimitChange) => void = () => undefined;
+  /** Called with the id of each runner that is removed from the directory. */
+  onRemoved: (id: string) => void = () => undefined;
+  /** Called when a runner's known limit changes. */
+  onLimitChange: (entry: RunnerEntry, change: LimitChange) => void = () =>
+    undefined;
   private readonly mirror = new TopicMirror(Topic.RUNNERS);
-  private next = 0;
+  private nextOffset = 0;
 
   constructor(reader: RecordReader) {
     const {clock, metrics, mirror, lines} = this;
@@ -39,7 +40,7 @@
         },
       },
     });
-    const patience = new ConnectTimeout();
+    const connectTimeout = new ConnectTimeout();
     this.directory = new RunnerDirectory({
       clock,
       log,
@@ -50,31 +51,32 @@
       freshnessMirror: mirror,
       onRemoved: id => {
         this.prefixes.removeRunner(id);
-        this.onGone(id);
+        this.onRemoved(id);
       },
       createRunner: entry => {
         const pool = new ConnectionPool({
           clock,
-          connectTimeout: patience,
+          connectTimeout,
           address: entry.address,
           maxConnections: () => 1,
           onOpened: () => undefined,
         });
-        const onLimit = (change: LimitChange) => this.onLimit(entry, change);
-        return new Runner({clock, entry, pool, onLimitChange: onLimit});
+        const onLimitChange = (change: LimitChange) =>
+          this.onLimitChange(entry, change);
+        return new Runner({clock, entry, pool, onLimitChange});
       },
     });
     mirror.load({records: [], next: 0, isWhole: true}, clock.now());
   }
 
-  /** Lets the store say something under a key. */
+  /** Appends a record to the mirror; no value means a deletion. */
   put(key: string, value: string | undefined): void {
-    const record: KeyedRecord = {key, value, offset: this.next++};
-    const page = {records: [record], next: this.next, isWhole: true};
+    const record: KeyedRecord = {key, value, offset: this.nextOffset++};
+    const page = {records: [record], next: this.nextOffset, isWhole: true};
     this.mirror.extend(page, this.clock.now());
   }
 
-  /** Lines of one event. */
+  /** Log lines of one event. */
   events(event: string): Array<Record<string, unknown>> {
     return this.lines.filter(line => line.event === event);
   }
--- a/packages/gateway/src/testing/find_ports.ts
+++ b/packages/gateway/src/testing/find_ports.ts
@@ -1,20 +1,20 @@
 import {createServer} from 'node:net';
 
 /**
- * First port that is tried: above those that fleets of daemons keep (up to 30000), also while a host restarts, and
- * below those that the system gives to outgoing connections (from 32768 on). Either would meet on a port between
- * the moment it is found free and the start of a host: once in 60 runs of one test, 20 at a time, with
- * outgoing connections; once in 4 runs of all tests with a fleet.
+ * The first port to try. The range lies above the ports that fleets of daemons reserve (up to 30000), even while a
+ * host restarts, and below the system's ephemeral ports for outgoing connections (from 32768). Either can take a port
+ * between the check that it is free and the start of a host. Collisions with outgoing connections occurred once in 60
+ * runs of one test, 20 at a time; collisions with a fleet once in 4 runs of all tests.
  */
 const FIRST_PORT = 30_000;
-/** Ports that are tried in all. */
+/** Size of the port range. */
 const PORT_COUNT = 2_700;
-/** Ports between the first ones tried by processes that were started one after the other. */
+/** Distance between the first ports that processes with consecutive ids try. */
 const PROCESS_STEP = 64;
 
 let nextIndex = process.pid * PROCESS_STEP;
 
-/** Ports of loopback that are free now, no two calls of a process give the same soon. */
+/** Finds loopback ports that are free now. A process reuses a port only after it went through the whole range. */
 export async function findPorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
--- a/packages/gateway/src/testing/gateway_fixture.ts
+++ b/packages/gateway/src/testing/gateway_fixture.ts
@@ -20,16 +20,16 @@
   readonly body?: string;
   readonly agent?: Agent;
   /** Closes the connection after this time, in ms. */
-  readonly leaveAfterMs?: number;
+  readonly disconnectAfterMs?: number;
   readonly host?: number;
-  /** Sends the headers only. */
-  readonly holdsBody?: boolean;
-  /** Reads nothing of the answer's body for this time, in ms. */
-  readonly pausesForMs?: number;
+  /** Sends the headers but no body. */
+  readonly sendsHeadersOnly?: boolean;
+  /** Pauses reading the response body for this time, in ms. */
+  readonly pauseReadingMs?: number;
 }
 
 interface Host {
-  /** Lets the host's machine seem to have been suspended for this long, in ms. */
+  /** Simulates a suspension of the host's machine for this long, in ms. */
   readonly suspend: (forMs: number) => void;
   readonly gateway: Gateway;
   readonly store: MemoryRecordStore;
@@ -40,12 +40,12 @@
 type Line = Readonly<Record<string, unknown>> & {readonly event: string};
 
 const HOST_NAME = 'calls.example';
-const LOOK_MS = 10;
-const WAIT_MS = 5_000;
+const POLL_INTERVAL_MS = 10;
+const WAIT_TIMEOUT_MS = 5_000;
 
 let nextRequest = 1;
 
-/** Gateways on loopback with a store in memory, and a caller. */
+/** Gateways on loopback with an in-memory store, and a client that calls them. */
 export class GatewayFixture {
   readonly store = new MemoryRecordStore();
   readonly hosts: Host[] = [];
@@ -53,7 +53,7 @@
   private readonly runners = new Set<ScriptedRunner>();
   private version = 0;
 
-  /** Starts a host; its own store may differ from the shared one, to cut it off. */
+  /** Starts a host. Pass a store other than the shared one to partition the host from the rest. */
   async startHost(
     overrides: Partial<GatewaySettings> = {},
     store = this.store,
@@ -117,7 +117,7 @@
     return host;
   }
 
-  /** Puts a configuration with these routes into the store. */
+  /** Writes a configuration with these routes to the store. */
   configure(
     routes: ReadonlyArray<Partial<CallRoute>>,
     keys?: Readonly<Record<string, ApiKeyOwner>>,
@@ -147,26 +147,26 @@
 
   /** Waits until a host is ready. */
   async waitReady(index = 0): Promise<void> {
-    await this.waitFor(async () => (await this.readiness(index)) === 200);
+    await this.waitFor(async () => (await this.fetchReadiness(index)) === 200);
   }
 
-  async readiness(index = 0): Promise<number> {
+  async fetchReadiness(index = 0): Promise<number> {
     const {readinessPort} = this.hosts[index].settings;
-    const answer = await fetch(`http://127.0.0.1:${readinessPort}/ready`);
-    return answer.status;
+    const response = await fetch(`http://127.0.0.1:${readinessPort}/ready`);
+    return response.status;
   }
 
-  /** Waits for a condition; fails when it does not come true. */
+  /** Waits for a condition; fails if it does not hold in time. */
   async waitFor(condition: () => boolean | Promise<boolean>): Promise<void> {
-    const until = performance.now() + WAIT_MS;
+    const deadline = performance.now() + WAIT_TIMEOUT_MS;
     while (!(await condition())) {
-      if (performance.now() > until)
-        throw new Error(`still waiting for ${condition.toString()}`);
-      await new Promise(resolve => setTimeout(resolve, LOOK_MS));
+      if (performance.now() > deadline)
+        throw new Error(`timed out waiting for ${condition.toString()}`);
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
-  /** Lines of one event. */
+  /** Log lines of one event. */
   events(event: string): Line[] {
     return this.lines.filter(line => line.event === event);
   }
@@ -190,35 +190,35 @@
         },
       });
       outgoing.once('error', reject);
-      outgoing.once('response', answer => {
+      outgoing.once('response', response => {
         const chunks: Buffer[] = [];
-        answer.on('data', (chunk: Buffer) => chunks.push(chunk));
-        if (options.pausesForMs !== undefined) {
-          answer.pause();
-          setTimeout(() => answer.resume(), options.pausesForMs);
+        response.on('data', (chunk: Buffer) => chunks.push(chunk));
+        if (options.pauseReadingMs !== undefined) {
+          response.pause();
+          setTimeout(() => response.resume(), options.pauseReadingMs);
         }
-        answer.once('error', () => undefined);
-        answer.once('close', () =>
+        response.once('error', () => undefined);
+        response.once('close', () =>
           resolve({
-            status: answer.statusCode ?? 0,
-            headers: answer.headers,
+            status: response.statusCode ?? 0,
+            headers: response.headers,
             body: Buffer.concat(chunks).toString(),
-            isWhole: answer.complete,
-            isFramed:
-              answer.headers['content-length'] !== undefined ||
-              answer.headers['transfer-encoding'] !== undefined,
-            forMs: performance.now() - startedAt,
+            isComplete: response.complete,
+            isSelfDelimited:
+              response.headers['content-length'] !== undefined ||
+              response.headers['transfer-encoding'] !== undefined,
+            durationMs: performance.now() - startedAt,
           }),
         );
       });
-      if (options.holdsBody) outgoing.flushHeaders();
+      if (options.sendsHeadersOnly) outgoing.flushHeaders();
       else outgoing.end(body);
-      if (options.leaveAfterMs !== undefined)
-        setTimeout(() => outgoing.destroy(), options.leaveAfterMs);
+      if (options.disconnectAfterMs !== undefined)
+        setTimeout(() => outgoing.destroy(), options.disconnectAfterMs);
     });
   }
 
-  /** Stops all hosts and runners, so that a failed test leaves nothing that runs on. */
+  /** Stops all hosts and runners, so that nothing keeps running after a failed test. */
   async stop(): Promise<void> {
     for (const {gateway} of this.hosts) gateway.stopImmediately();
     for (const runner of this.runners) runner.stop();
--- a/packages/gateway/src/testing/index.ts
+++ b/packages/gateway/src/testing/index.ts
@@ -1,3 +1,3 @@
-/** Support for tests of what adapters hand to the gateway. */
+/** Fixtures for tests of the adapters that platforms supply to the gateway. */
 export {DirectoryFixture} from './directory_fixture.js';
 export {findPorts} from './find_ports.js';
--- a/packages/gateway/src/testing/memory_record_store.ts
+++ b/packages/gateway/src/testing/memory_record_store.ts
@@ -5,41 +5,41 @@
 import type {Topic} from '../records/topic.js';
 import type {TopicPage} from '../records/topic_page.js';
 
-interface Stored {
+interface StoredTopic {
   records: KeyedRecord[];
-  firstKept: number;
+  firstOffset: number;
 }
 
-/** Pause between two looks of a waiting read, in ms. */
-const LOOK_MS = 5;
+/** Interval at which a long poll checks for new records, in ms. */
+const POLL_INTERVAL_MS = 5;
 
-/** A record store in memory that tests can cut off, slow down and trim. */
+/** An in-memory record store that tests can make unreachable or slow. */
 export class MemoryRecordStore implements RecordStore {
-  /** Fails every call while set. */
+  /** Makes every call fail while set. */
   isDown = false;
-  /** Writes are done, but their answers are lost, while set. */
-  losesAnswers = false;
-  /** Time before a write is done, in ms. */
-  appendMs = 0;
-  /** Time before the newest records are read, in ms. */
-  newestMs = 0;
-  /** When it was first read, as `performance.now` tells; undefined if never. */
+  /** While set, writes succeed but their responses are lost. */
+  losesResponses = false;
+  /** Delay of each write, in ms. */
+  appendDelayMs = 0;
+  /** Delay of each read of the newest records, in ms. */
+  snapshotDelayMs = 0;
+  /** Time of the first read, by `performance.now()`; undefined before it. */
   firstReadAt: number | undefined;
-  /** Calls by kind. */
+  /** Number of calls by kind. */
   readonly calls = {newest: 0, read: 0, append: 0};
-  private topics = new Map<Topic, Stored>();
+  private topics = new Map<Topic, StoredTopic>();
 
-  /** Another way to the same records, with failures of its own. */
+  /** Creates a second client of the same records, with its own failures. */
   share(): MemoryRecordStore {
     const other = new MemoryRecordStore();
     other.topics = this.topics;
     return other;
   }
 
-  /** Writes as operators and runners do, past all failures. */
+  /** Writes a record as operators and runners do, unaffected by simulated failures. */
   put(topic: Topic, key: string, value?: object): void {
     const stored = this.topic(topic);
-    const offset = stored.firstKept + stored.records.length;
+    const offset = stored.firstOffset + stored.records.length;
     const text = value === undefined ? undefined : JSON.stringify(value);
     stored.records.push({key, value: text, offset});
   }
@@ -52,13 +52,13 @@
   async readNewest(topic: Topic): Promise<TopicPage> {
     this.calls.newest += 1;
     this.firstReadAt ??= performance.now();
-    if (this.newestMs > 0)
-      await new Promise(resolve => setTimeout(resolve, this.newestMs));
-    this.checkUp();
-    const {records, firstKept} = this.topic(topic);
+    if (this.snapshotDelayMs > 0)
+      await new Promise(resolve => setTimeout(resolve, this.snapshotDelayMs));
+    this.checkAvailable();
+    const {records, firstOffset} = this.topic(topic);
     const newest = new Map(records.map(record => [record.key, record]));
     const live = [...newest.values()].filter(({value}) => value !== undefined);
-    return {records: live, next: firstKept + records.length, isWhole: true};
+    return {records: live, next: firstOffset + records.length, isWhole: true};
   }
 
   async readFrom({
@@ -72,15 +72,15 @@
   }): Promise<TopicPage> {
     this.calls.read += 1;
     this.firstReadAt ??= performance.now();
-    const until = performance.now() + waitMs;
+    const deadline = performance.now() + waitMs;
     for (;;) {
-      this.checkUp();
-      const {records, firstKept} = this.topic(topic);
-      const next = firstKept + records.length;
-      const found = records.slice(from - firstKept);
-      if (found.length > 0 || performance.now() >= until)
-        return {records: found, next, isWhole: true};
-      await new Promise(resolve => setTimeout(resolve, LOOK_MS));
+      this.checkAvailable();
+      const {records, firstOffset} = this.topic(topic);
+      const next = firstOffset + records.length;
+      const newRecords = records.slice(from - firstOffset);
+      if (newRecords.length > 0 || performance.now() >= deadline)
+        return {records: newRecords, next, isWhole: true};
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
@@ -96,31 +96,34 @@
     expectedEnd?: number;
   }): Promise<void> {
     this.calls.append += 1;
-    if (this.appendMs > 0)
-      await new Promise(resolve => setTimeout(resolve, this.appendMs));
-    this.checkUp();
+    if (this.appendDelayMs > 0)
+      await new Promise(resolve => setTimeout(resolve, this.appendDelayMs));
+    this.checkAvailable();
     const stored = this.topic(topic);
-    const offset = stored.firstKept + stored.records.length;
+    const offset = stored.firstOffset + stored.records.length;
     if (expectedEnd !== undefined && expectedEnd !== offset)
-      throw new StoreFailure(StoreFailureKind.CONFLICT, `ends at ${offset}`);
+      throw new StoreFailure(
+        StoreFailureKind.CONFLICT,
+        `the topic ends at ${offset}`,
+      );
     stored.records.push({key, value, offset});
-    if (this.losesAnswers)
-      throw new StoreFailure(StoreFailureKind.UNREACHABLE, 'answer lost');
+    if (this.losesResponses)
+      throw new StoreFailure(StoreFailureKind.UNREACHABLE, 'response lost');
   }
 
   disconnect(): void {
-    // Nothing is kept open.
+    // There are no connections to close.
   }
 
-  private checkUp(): void {
+  private checkAvailable(): void {
     if (this.isDown)
-      throw new StoreFailure(StoreFailureKind.UNREACHABLE, 'down');
+      throw new StoreFailure(StoreFailureKind.UNREACHABLE, 'the store is down');
   }
 
-  private topic(topic: Topic): Stored {
+  private topic(topic: Topic): StoredTopic {
     const known = this.topics.get(topic);
     if (known) return known;
-    const stored = {records: [], firstKept: 0};
+    const stored = {records: [], firstOffset: 0};
     this.topics.set(topic, stored);
     return stored;
   }
--- a/packages/gateway/src/testing/plain_header_names.ts
+++ b/packages/gateway/src/testing/plain_header_names.ts
@@ -1,6 +1,6 @@
 import type {HeaderNames} from '../calls/header_names.js';
 
-/** Header names for tests; platforms bring their own. */
+/** Header names for tests; each platform defines its own. */
 export const plainHeaderNames: HeaderNames = {
   requestId: 'x-request-id',
   deadline: 'x-deadline',
--- a/packages/gateway/src/testing/plain_reader.ts
+++ b/packages/gateway/src/testing/plain_reader.ts
@@ -10,12 +10,12 @@
 import type {RecordReader} from '../discovery/record_reader.js';
 import type {KeyedRecord} from '../records/keyed_record.js';
 
-/** A configuration as tests write it: the gateway's own types, with lists in place of maps. */
+/** A configuration as tests write it: the gateway's own types, with plain objects in place of maps. */
 interface PlainConfiguration {
   readonly version: number;
   readonly routes: readonly CallRoute[];
   readonly maxConnections: Readonly<Record<string, number>>;
-  /** Of all services. */
+  /** Applies to every service. */
   readonly coldCallsPerSecond?: number;
   readonly limits: CallConfiguration['limits'];
   readonly keys?: Readonly<Record<string, ApiKeyOwner>>;
@@ -24,7 +24,7 @@
 const ROLLOUT_PREFIX = 'rollout/';
 const CORDON_PREFIX = 'cordon/';
 
-/** Reads records in which the gateway's own types stand as JSON. */
+/** Reads records that hold the gateway's own types as JSON. */
 export class PlainReader implements RecordReader {
   readonly configurationKey = 'configuration';
 
--- a/packages/gateway/src/testing/rollout_fixture.ts
+++ b/packages/gateway/src/testing/rollout_fixture.ts
@@ -13,19 +13,19 @@
 /** The version that is rolled out. */
 const NEW = 'v2';
 
-/** A fixture with a runner of an old and one of a new version, and what operators and hosts write of roll-outs. */
+/** A gateway fixture with one runner of the old and one of the new version, which orders rollouts and reads their phases. */
 export class RolloutFixture extends GatewayFixture {
   readonly old = new ScriptedRunner({id: 'old', version: 'v1'});
-  readonly fresh = new ScriptedRunner({id: 'fresh', version: NEW});
+  readonly canary = new ScriptedRunner({id: 'fresh', version: NEW});
 
-  /** Puts a route and both runners into the store. */
+  /** Writes a route and both runners to the store. */
   async prepare(): Promise<void> {
     this.configure([{kind: CallKind.SAFE, attempts: 2}]);
     await this.addRunner(this.old);
-    await this.addRunner(this.fresh);
+    await this.addRunner(this.canary);
   }
 
-  /** Orders the roll-out of the new version. */
+  /** Orders the rollout of the new version. */
   order({service = 'svc', durationMs}: Order): void {
     this.store.put(Topic.OPERATOR, `rollout/${service}`, {
       service,
@@ -34,13 +34,13 @@
     });
   }
 
-  /** Lets the runner of the new version answer every request with a failure. */
-  breakFresh(): void {
-    this.fresh.script = ({id}, response) =>
+  /** Makes the runner of the new version fail every request. */
+  failCanary(): void {
+    this.canary.script = ({id}, response) =>
       response.writeHead(500, {[names.requestId]: id}).end();
   }
 
-  /** Phases that were written to the store, in order; of one service's roll-outs if it is given. */
+  /** Rollout phases written to the store, in order; only those of one service if given. */
   phases(service?: string): string[] {
     return this.store
       .records(Topic.STATUS)
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_simulation.ts
@@ -7,13 +7,13 @@
 import type {RolloutDigest} from '../rollouts/rollout_digest.js';
 import {mergeRolloutDigests} from '../rollouts/merge_rollout_digests.js';
 import {MemoryRecordStore} from './memory_record_store.js';
-import {RolloutWorldHost} from './rollout_world_host.js';
-import {SoundVersion} from './sound_version.js';
+import {SimulatedHost} from './simulated_host.js';
+import {HealthyVersion} from './healthy_version.js';
 import type {VersionModel} from './version_model.js';
 
 interface Options {
   readonly seed: number;
-  /** Calls of the service in a second, at all hosts. */
+  /** Calls per second of the service, over all hosts. */
   readonly callsPerSecond: number;
   /** Time from the order to its limit, in ms. */
   readonly durationMs: number;
@@ -22,11 +22,11 @@
   readonly hosts?: number;
   /** Whether calls belong to sessions. */
   readonly hasSessions?: boolean;
-  /** How many times the usual rate calls come at, by time since the order in ms. */
+  /** Factor on the usual call rate, by time since the order in ms. */
   readonly surge?: (elapsedMs: number) => number;
 }
 
-/** A call on its way. */
+/** A call in progress. */
 interface Call {
   readonly id: string;
   readonly route: string;
@@ -34,15 +34,15 @@
   readonly failedVersions: readonly string[];
 }
 
-/** A runner, as far as its load matters. */
-interface WorldRunner {
+/** A runner, reduced to its load. */
+interface SimulatedRunner {
   readonly id: string;
   readonly slots: number;
   totalRunning: number;
 }
 
-/** What was last seen of a session. */
-interface SessionMemory {
+/** The last call of a session. */
+interface SessionSighting {
   readonly host: number;
   readonly version: string;
   readonly at: number;
@@ -51,52 +51,52 @@
 const SERVICE = 'svc';
 const OLD = 'v1';
 const NEW = 'v2';
-/** Hosts of a small installation. */
+/** Number of hosts of a small installation. */
 const HOSTS = 7;
-/** Runners of each version, and calls that one of them runs at once. */
+/** Runners of each version, and concurrent calls per runner. */
 const RUNNERS = 8;
 const SLOTS = 8;
-/** Calls before the order, in ms: hosts know the old version by then. */
-const LEAD_MS = 4_000;
-/** Routes, each as often as it stands here. */
+/** Duration of the calls before the order, in ms: afterwards hosts have data on the old version. */
+const WARM_UP_MS = 4_000;
+/** Routes, weighted by how often they occur in the list. */
 const ROUTES = ['long', 'long', 'short', 'short', 'chat'];
-/** Pause between two rounds in which hosts tell each other what they have and saw, in ms. */
-const EXCHANGE_MS = 500;
-/** Age of what a host is told, in ms: two hand-overs between places. */
-const TOLD_AGE_MS = 400;
-/** Time after which a caller takes an answer for lost, in ms. */
-const CALLER_PATIENCE_MS = 8_000;
-/** Share of calls that go on with a session of the last seconds. */
-const GOES_ON_SHARE = 0.6;
-/** Time in which a session goes on, in ms. */
+/** Interval between gossip rounds, in ms. */
+const GOSSIP_INTERVAL_MS = 500;
+/** Age of a digest on arrival, in ms: two hops between places. */
+const GOSSIP_DELAY_MS = 400;
+/** Time after which a caller considers a response lost, in ms. */
+const CALLER_TIMEOUT_MS = 8_000;
+/** Share of calls that continue a recent session. */
+const CONTINUED_SHARE = 0.6;
+/** Time after its last call in which a session can continue, in ms. */
 const SESSION_MS = 5_000;
-/** Bad answers of a version after which no call may reach it later than the time to take it back. */
+/** Number of bad answers after which a version must be rolled back, and the time allowed for that: later calls to it are faults. */
 const MAX_BAD = 50;
-const TAKE_BACK_MS = 5_000;
+const ROLLBACK_MS = 5_000;
 const MS_PER_SECOND = 1_000;
 
-/** A roll-out at several hosts in one process, on a virtual clock: calls, answers, news, restarts. */
-export class RolloutWorld {
+/** Simulates a rollout over several hosts in one process on a virtual clock: calls, responses, gossip and restarts. */
+export class RolloutSimulation {
   readonly clock = new VirtualClock();
   readonly store = new MemoryRecordStore();
-  /** Calls that reached the service between the order and its limit, and those of them at the new version. */
-  readonly got = {all: 0, fresh: 0};
+  /** Calls that reached the service between the order and its limit, and how many of them went to the new version. */
+  readonly callCounts = {all: 0, fresh: 0};
   /** Answers of the new version that failed or were slow. */
   badAnswers = 0;
-  /** Calls at the new version later than it had to be taken back. */
+  /** Calls to the new version after the deadline for its rollback. */
   lateCalls = 0;
-  /** Calls of sessions that went back to the old version, and that went to the new one in the first half. */
-  readonly moved = {back: 0, early: 0};
-  private readonly hosts: RolloutWorldHost[] = [];
+  /** Calls that moved a session back to the old version, and those that moved one to the new version in the first half. */
+  readonly sessionMoves = {back: 0, early: 0};
+  private readonly hosts: SimulatedHost[] = [];
   private readonly random: SeededRandom;
-  private readonly old = new SoundVersion();
-  private readonly seen = new Map<string, SessionMemory>();
+  private readonly old = new HealthyVersion();
+  private readonly sessionSightings = new Map<string, SessionSighting>();
   private readonly runners = {
     fresh: createRunners(NEW),
     old: createRunners(OLD),
   };
   private orderedAt = Infinity;
-  private takeBackBy = Infinity;
+  private rollbackDeadline = Infinity;
   private calls = 0;
 
   constructor(private readonly options: Options) {
@@ -104,7 +104,7 @@
     for (let i = 0; i < (options.hosts ?? HOSTS); i++) this.startHost(i);
   }
 
-  /** Phases that stand in the store, in order. */
+  /** Rollout phases in the store, in order. */
   get phases(): RolloutPhase[] {
     return this.store
       .records(Topic.STATUS)
@@ -116,45 +116,48 @@
     return this.clock.now() - this.orderedAt;
   }
 
-  /** Plays calls before the order, and then up to its time limit. */
-  async play(): Promise<void> {
+  /** Runs the calls before the order, then those up to its time limit. */
+  async runToLimit(): Promise<void> {
     const {durationMs} = this.options;
     this.call();
-    this.exchange();
-    await this.clock.advanceSettled(LEAD_MS);
+    this.gossip();
+    await this.clock.advanceSettled(WARM_UP_MS);
     this.order();
     await this.clock.advanceSettled(durationMs);
   }
 
-  /** Goes on for a time after the limit. */
-  async goOn(forMs: number): Promise<void> {
+  /** Continues the simulation past the limit. */
+  async continueFor(forMs: number): Promise<void> {
     await this.clock.advanceSettled(forMs);
   }
 
-  /** Does something to the hosts at a time after the order. */
-  at(elapsedMs: number, action: () => void): void {
-    this.clock.after(LEAD_MS + elapsedMs, action);
+  /** Schedules an action at a time after the order. */
+  scheduleAt(elapsedMs: number, action: () => void): void {
+    this.clock.after(WARM_UP_MS + elapsedMs, action);
   }
 
-  /** Kills a host; another one of its name starts at once, and knows what is in the store. */
+  /** Kills a host and starts another of the same name at once, which knows only what is in the store. */
   restart(index: number): void {
     this.hosts[index].kill();
     this.startHost(index);
   }
 
-  /** Cuts hosts off from the store and from the others, or ends that. */
-  cutOff(indexes: readonly number[], isCutOff: boolean): void {
-    for (const index of indexes) this.hosts[index].isCutOff = isCutOff;
+  /** Partitions hosts from the store and the other hosts, or ends the partition. */
+  setPartitioned(indexes: readonly number[], isPartitioned: boolean): void {
+    for (const index of indexes)
+      this.hosts[index].isPartitioned = isPartitioned;
   }
 
   private startHost(index: number): void {
-    const host = new RolloutWorldHost({
+    const host = new SimulatedHost({
       clock: this.clock,
       name: `host-${index}`,
       service: SERVICE,
       store: this.store,
-      living: () =>
-        this.hosts.filter(({isCutOff}) => !isCutOff).map(({name}) => name),
+      liveHosts: () =>
+        this.hosts
+          .filter(({isPartitioned}) => !isPartitioned)
+          .map(({name}) => name),
     });
     this.hosts[index] = host;
     host.start();
@@ -167,22 +170,24 @@
     this.orderedAt = this.clock.now();
   }
 
-  /** Hosts tell each other what they have and saw; those that are cut off neither tell nor hear. */
-  private exchange(): void {
-    const told = this.hosts.map(({isCutOff, digest}) =>
-      isCutOff ? undefined : digest,
+  /** Exchanges digests among hosts; partitioned hosts neither send nor receive. */
+  private gossip(): void {
+    const digests = this.hosts.map(({isPartitioned, digest}) =>
+      isPartitioned ? undefined : digest,
     );
-    this.clock.after(TOLD_AGE_MS, () => this.hear(told));
-    this.clock.after(EXCHANGE_MS, () => this.exchange());
+    this.clock.after(GOSSIP_DELAY_MS, () => this.applyDigests(digests));
+    this.clock.after(GOSSIP_INTERVAL_MS, () => this.gossip());
   }
 
-  private hear(told: ReadonlyArray<RolloutDigest | undefined>): void {
+  private applyDigests(
+    digests: ReadonlyArray<RolloutDigest | undefined>,
+  ): void {
     this.hosts.forEach((host, index) => {
-      const others = told
+      const others = digests
         .filter((digest, i) => i !== index && digest)
         .map(digest => digest!);
-      if (host.isCutOff || others.length === 0) return;
-      host.book.applyRemoteDigests({
+      if (host.isPartitioned || others.length === 0) return;
+      host.registry.applyRemoteDigests({
         [SERVICE]: others.reduce(mergeRolloutDigests),
       });
     });
@@ -199,10 +204,10 @@
       session,
       failedVersions: [],
     });
-    this.clock.after(this.drawPauseMs(), () => this.call());
+    this.clock.after(this.drawIntervalMs(), () => this.call());
   }
 
-  private drawPauseMs(): number {
+  private drawIntervalMs(): number {
     const {callsPerSecond, surge} = this.options;
     const times = surge?.(this.elapsedMs) ?? 1;
     const meanMs = MS_PER_SECOND / (callsPerSecond * times);
@@ -211,29 +216,32 @@
 
   private drawSession(): string {
     const since = this.clock.now() - SESSION_MS;
-    const going = [...this.seen].filter(([, {at}]) => at >= since);
-    if (going.length > 0 && this.random.next() < GOES_ON_SHARE)
-      return going[this.random.below(going.length)][0];
+    const activeSessions = [...this.sessionSightings].filter(
+      ([, {at}]) => at >= since,
+    );
+    if (activeSessions.length > 0 && this.random.next() < CONTINUED_SHARE)
+      return activeSessions[this.random.below(activeSessions.length)][0];
     return `session-${this.calls}`;
   }
 
   /** A session keeps its host, as its caller keeps its connection. */
   private hostOf(session: string | undefined): number {
-    const known = session === undefined ? undefined : this.seen.get(session);
+    const known =
+      session === undefined ? undefined : this.sessionSightings.get(session);
     return known?.host ?? this.random.below(this.hosts.length);
   }
 
   private send(index: number, call: Call): void {
     const host = this.hosts[index];
     const {id, route, session, failedVersions} = call;
-    const {preferred: only} = host.book.getVersionPreference({
+    const {preferred} = host.registry.getVersionPreference({
       service: SERVICE,
       key: id,
       session,
       failedVersions,
       hasUntriedRunner: () => true,
     });
-    const version = only ?? OLD;
+    const version = preferred ?? OLD;
     this.count(index, version, session);
     if (session !== undefined) host.sessions.set(session, version);
     this.run(index, call, version, route);
@@ -246,27 +254,31 @@
   ): void {
     const {durationMs} = this.options;
     const {elapsedMs} = this;
-    if (elapsedMs >= 0 && elapsedMs < durationMs && !this.hosts[index].isCutOff)
-      this.countGot(version);
-    if (version === NEW && this.clock.now() > this.takeBackBy)
+    if (
+      elapsedMs >= 0 &&
+      elapsedMs < durationMs &&
+      !this.hosts[index].isPartitioned
+    )
+      this.countCall(version);
+    if (version === NEW && this.clock.now() > this.rollbackDeadline)
       this.lateCalls += 1;
-    if (session !== undefined) this.noteMove(index, session, version);
+    if (session !== undefined) this.recordMove(index, session, version);
   }
 
-  private countGot(version: string): void {
-    this.got.all += 1;
-    if (version === NEW) this.got.fresh += 1;
+  private countCall(version: string): void {
+    this.callCounts.all += 1;
+    if (version === NEW) this.callCounts.fresh += 1;
   }
 
-  private noteMove(index: number, session: string, version: string): void {
+  private recordMove(index: number, session: string, version: string): void {
     const at = this.clock.now();
-    const before = this.seen.get(session);
-    this.seen.set(session, {host: index, version, at});
+    const before = this.sessionSightings.get(session);
+    this.sessionSightings.set(session, {host: index, version, at});
     if (!before || at - before.at >= SESSION_MS) return;
     if (before.version === version) return;
-    if (version === OLD) this.moved.back += 1;
+    if (version === OLD) this.sessionMoves.back += 1;
     else if (this.elapsedMs < this.options.durationMs / 2)
-      this.moved.early += 1;
+      this.sessionMoves.early += 1;
   }
 
   private run(index: number, call: Call, version: string, route: string): void {
@@ -274,7 +286,7 @@
     const model = isFresh ? this.options.version : this.old;
     const host = this.hosts[index];
     const {rollout} = host;
-    const runner = this.choose(isFresh, rollout?.isCanary ?? false);
+    const runner = this.chooseRunner(isFresh, rollout?.isCanary ?? false);
     runner.totalRunning += 1;
     if (!isFresh) host.oldRunning += 1;
     const {elapsedMs, random} = this;
@@ -282,28 +294,28 @@
     const answer = model.answer({route, running, elapsedMs, random});
     const isActive = rollout?.phase === RolloutPhase.ACTIVE;
     if (isActive) rollout.evidence.recordSent(isFresh);
-    const forMs = Math.min(answer.forMs, CALLER_PATIENCE_MS);
+    const forMs = Math.min(answer.forMs, CALLER_TIMEOUT_MS);
     const {firstMs, events} = answer;
-    const endWatch = this.watch(rollout, route, isFresh, firstMs);
+    const endTracking = this.trackAttempt(rollout, route, isFresh, firstMs);
     this.clock.after(forMs, () => {
-      endWatch();
+      endTracking();
       runner.totalRunning -= 1;
       if (!isFresh) host.oldRunning -= 1;
-      const isEnded = answer.forMs > CALLER_PATIENCE_MS;
+      const hasTimedOut = answer.forMs > CALLER_TIMEOUT_MS;
       const eventMs = computeEventIntervalMs(forMs, firstMs, events);
-      if (isActive && !isEnded)
+      if (isActive && !hasTimedOut)
         rollout.evidence.recordEnded(route, isFresh, answer.hasFailed, {
           firstMs,
           eventMs,
           expectedMs: 0,
         });
-      if (isFresh) this.noteAnswer(answer, isEnded);
-      if (answer.hasFailed) this.repeat(index, call, version);
+      if (isFresh) this.recordAnswer(answer, hasTimedOut);
+      if (answer.hasFailed) this.retry(index, call, version);
     });
   }
 
-  /** Lets the evidence know how long an answer has been awaited. */
-  private watch(
+  /** Registers a pending attempt with the evidence, which reads how long it has waited. */
+  private trackAttempt(
     rollout: Rollout | undefined,
     cellName: string,
     isFresh: boolean,
@@ -318,32 +330,35 @@
     return rollout?.evidence.trackAttempt(attempt) ?? (() => undefined);
   }
 
-  /** The runner with the fewest calls, of those among which a call may choose. */
-  private choose(isFresh: boolean, isWatched: boolean): WorldRunner {
+  /** Chooses the least loaded runner among those that the call may use. */
+  private chooseRunner(isFresh: boolean, isCanary: boolean): SimulatedRunner {
     const {fresh, old} = this.runners;
     const all = isFresh ? fresh : old;
-    const some = isFresh && isWatched ? chooseCanaryRunners({fresh, old}) : all;
-    return some.reduce((a, b) => (b.totalRunning < a.totalRunning ? b : a));
+    const candidates =
+      isFresh && isCanary ? chooseCanaryRunners({fresh, old}) : all;
+    return candidates.reduce((a, b) =>
+      b.totalRunning < a.totalRunning ? b : a,
+    );
   }
 
-  private noteAnswer(
+  private recordAnswer(
     {hasFailed, firstMs}: ReturnType<VersionModel['answer']>,
-    isEnded: boolean,
+    hasTimedOut: boolean,
   ): void {
     const isSlow = firstMs > MS_PER_SECOND;
-    if (!hasFailed && !isSlow && !isEnded) return;
+    if (!hasFailed && !isSlow && !hasTimedOut) return;
     this.badAnswers += 1;
     if (this.badAnswers === MAX_BAD)
-      this.takeBackBy = this.clock.now() + TAKE_BACK_MS;
+      this.rollbackDeadline = this.clock.now() + ROLLBACK_MS;
   }
 
-  private repeat(index: number, call: Call, version: string): void {
+  private retry(index: number, call: Call, version: string): void {
     if (call.failedVersions.length > 0) return;
     this.send(index, {...call, failedVersions: [version]});
   }
 }
 
-function createRunners(version: string): WorldRunner[] {
+function createRunners(version: string): SimulatedRunner[] {
   return Array.from({length: RUNNERS}, (_, i) => ({
     id: `${version}-${i}`,
     slots: SLOTS,
--- a/packages/gateway/src/testing/scripted_runner.ts
+++ b/packages/gateway/src/testing/scripted_runner.ts
@@ -4,7 +4,7 @@
 import type {RunnerEntry} from '@bayspool/decisions/calls';
 import {plainHeaderNames as names} from './plain_header_names.js';
 
-/** Answers one request that was read whole. */
+/** Responds to one request, whose body has been read. */
 type Script = (request: ReceivedRequest, response: ServerResponse) => void;
 
 interface ReceivedRequest {
@@ -24,21 +24,21 @@
   readonly script?: Script;
 }
 
-/** A runner whose answers a test writes. */
+/** A runner whose responses a test scripts. */
 export class ScriptedRunner {
-  /** All requests that arrived, in order. */
+  /** All requests received, in order. */
   readonly received: ReceivedRequest[] = [];
-  /** Connections opened to it. */
+  /** Number of connections opened to the runner. */
   connections = 0;
-  /** Requests whose connection closed before the answer ended. */
-  readonly left: string[] = [];
+  /** Ids of requests whose connection closed before the response ended. */
+  readonly abortedIds: string[] = [];
   script: Script;
   private readonly server: Server;
 
   constructor(private readonly options: Options) {
-    this.script = options.script ?? answerWhole;
+    this.script = options.script ?? sendCompleteResponse;
     this.server = createServer((request, response) => {
-      void this.take(request, response);
+      void this.handle(request, response);
     });
     this.server.keepAliveTimeout = 10_000;
     this.server.on('connection', () => (this.connections += 1));
@@ -73,7 +73,7 @@
     this.server.closeAllConnections();
   }
 
-  private async take(
+  private async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -82,7 +82,7 @@
       chunks.push(chunk);
     const id = String(request.headers[names.requestId]);
     response.on('close', () => {
-      if (!response.writableFinished) this.left.push(id);
+      if (!response.writableFinished) this.abortedIds.push(id);
     });
     const received = {
       id,
@@ -98,7 +98,10 @@
   }
 }
 
-function answerWhole({id}: ReceivedRequest, response: ServerResponse): void {
+function sendCompleteResponse(
+  {id}: ReceivedRequest,
+  response: ServerResponse,
+): void {
   const body = 'whole body';
   response.writeHead(200, {
     [names.requestId]: id,
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/simulated_host.ts
@@ -18,26 +18,26 @@
   readonly name: string;
   readonly service: string;
   readonly store: MemoryRecordStore;
-  /** Names of the hosts that live. */
-  readonly living: () => readonly string[];
+  /** Names of the live hosts. */
+  readonly liveHosts: () => readonly string[];
 }
 
 /** Time for which a session keeps its version, in ms. */
-const SESSION_KEPT_MS = 5_000;
-/** Pause between two looks at the store, in ms: a waiting read ends about so long after a record. */
-const LOOK_MS = 100;
+const SESSION_RETENTION_MS = 5_000;
+/** Interval at which the host polls the store, in ms: about the delay with which a long poll returns a new record. */
+const POLL_INTERVAL_MS = 100;
 
-/** One host of a simulated fleet: what it knows of roll-outs, and what it writes of them. */
-export class RolloutWorldHost {
-  readonly book: RolloutRegistry;
+/** One host of a simulated fleet: its rollout registry and the controller that writes rollout states. */
+export class SimulatedHost {
+  readonly registry: RolloutRegistry;
   readonly sessions: SessionVersions;
-  /** Calls of this host that run on the old version. */
+  /** Calls of this host running on the old version. */
   oldRunning = 0;
-  /** Whether it reaches neither the store nor other hosts. */
-  isCutOff = false;
-  /** Whether its process is gone; what it knew is lost then. */
-  isGone = false;
-  private readonly writer: RolloutController;
+  /** Whether the host is partitioned from the store and the other hosts. */
+  isPartitioned = false;
+  /** Whether its process was killed, which loses its state. */
+  isKilled = false;
+  private readonly controller: RolloutController;
   private readonly mirrors: readonly TopicMirror[];
   private readonly ownStore: MemoryRecordStore;
 
@@ -49,43 +49,46 @@
       sink: {write: () => undefined},
     });
     const reader = new PlainReader();
-    const refusals = new RefusedEntryReporter({
+    const refusedEntries = new RefusedEntryReporter({
       log,
       metrics: new GatewayMetrics(),
     });
     const orders = new TopicMirror(Topic.OPERATOR);
     const states = new TopicMirror(Topic.STATUS);
-    const notes = new TopicMirror(Topic.HOSTS);
+    const startMirror = new TopicMirror(Topic.HOSTS);
     this.ownStore = store.share();
-    this.mirrors = [notes, states, orders];
-    this.sessions = new SessionVersions({clock, retentionMs: SESSION_KEPT_MS});
+    this.mirrors = [startMirror, states, orders];
+    this.sessions = new SessionVersions({
+      clock,
+      retentionMs: SESSION_RETENTION_MS,
+    });
     const starts = new RolloutStartRecords({
       clock,
-      refusedEntries: refusals,
+      refusedEntries,
       store: this.ownStore,
-      mirror: notes,
+      mirror: startMirror,
     });
-    this.book = new RolloutRegistry({
+    this.registry = new RolloutRegistry({
       clock,
       log,
       reader,
-      refusedEntries: refusals,
+      refusedEntries,
       orders,
       states,
       startRecords: starts,
       sessions: this.sessions,
-      isConnected: () => !this.isCutOff,
-      hostCount: () => options.living().length,
+      isConnected: () => !this.isPartitioned,
+      hostCount: () => options.liveHosts().length,
     });
-    this.writer = new RolloutController({
+    this.controller = new RolloutController({
       clock,
       log,
       reader,
       states,
-      rollouts: this.book,
+      rollouts: this.registry,
       store: this.ownStore,
       host: name,
-      liveHosts: options.living,
+      liveHosts: options.liveHosts,
       oldRunning: () => this.oldRunning,
       recordStart: rollout => starts.save(rollout),
     });
@@ -95,34 +98,34 @@
     return this.options.name;
   }
 
-  /** The roll-out as this host knows it. */
+  /** The rollout as this host knows it. */
   get rollout(): Rollout | undefined {
-    return this.book.get(this.options.service);
+    return this.registry.get(this.options.service);
   }
 
-  /** What it tells the other hosts. */
+  /** The digest that it sends to the other hosts. */
   get digest(): RolloutDigest | undefined {
     return this.rollout?.createDigest(this.oldRunning);
   }
 
-  /** Follows the store from now on, and writes to it where that falls to this host. */
+  /** Starts following the store, and writing to it when this host is responsible. */
   start(): void {
-    this.look();
-    this.writer.start();
+    this.pollStore();
+    this.controller.start();
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Stops at once, like a killed process. */
   kill(): void {
-    this.isGone = true;
-    this.writer.stop();
+    this.isKilled = true;
+    this.controller.stop();
   }
 
-  private look(): void {
-    if (this.isGone) return;
+  private pollStore(): void {
+    if (this.isKilled) return;
     const {clock} = this.options;
-    this.ownStore.isDown = this.isCutOff;
-    if (!this.isCutOff) this.mirrors.forEach(mirror => this.read(mirror));
-    clock.after(LOOK_MS, () => this.look());
+    this.ownStore.isDown = this.isPartitioned;
+    if (!this.isPartitioned) this.mirrors.forEach(mirror => this.read(mirror));
+    clock.after(POLL_INTERVAL_MS, () => this.pollStore());
   }
 
   private read(mirror: TopicMirror): void {
--- a/packages/gateway/src/testing/version_model.ts
+++ b/packages/gateway/src/testing/version_model.ts
@@ -1,9 +1,9 @@
 import type {RandomSource} from '@bayspool/kernel';
 
-/** What the answer of a version depends on. */
+/** A call, as far as a version's response depends on it. */
 interface ModelCall {
   readonly route: string;
-  /** Calls that run at its runner, this one included. */
+  /** Calls running at its runner, including this one. */
   readonly running: number;
   /** Time since the order, in ms. */
   readonly elapsedMs: number;
@@ -16,11 +16,11 @@
   readonly firstMs: number;
   /** Time to the end, in ms. */
   readonly forMs: number;
-  /** Events of the answer. */
+  /** Number of events of the response. */
   readonly events: number;
 }
 
-/** How a version answers, in a simulation. */
+/** How a service version responds in a simulation. */
 export interface VersionModel {
   answer(call: ModelCall): ModelAnswer;
 }
