--- a/packages/decisions/src/calls/can_complete_rollout.ts
+++ b/packages/decisions/src/calls/can_complete_rollout.ts
@@ -30,12 +30,12 @@
   progress: RolloutProgress,
   oldRunning: number,
 ): boolean {
-  const {elapsedMs, durationMs, isSuspect, isMovingAll} = progress;
+  const {elapsedMs, durationMs, isSuspect, isShiftingAll} = progress;
   if (isSuspect) return false;
   if (elapsedMs >= durationMs - FORCED_COMPLETION_MS) return true;
   if (elapsedMs >= computeLatestCompletionMs(durationMs))
     return staysWithinLimit(bounds, progress, UNREPORTED_CALLS_FACTOR);
-  if (!isMovingAll || oldRunning > 0) return false;
+  if (!isShiftingAll || oldRunning > 0) return false;
   if (elapsedMs < durationMs * EARLIEST_COMPLETION_PART) return false;
   return staysWithinLimit(bounds, progress, SURGE_FACTOR);
 }
--- a/packages/decisions/src/calls/rollout_exposure.test.ts
+++ b/packages/decisions/src/calls/rollout_exposure.test.ts
@@ -26,7 +26,7 @@
     goodFresh: 40,
     callsPerMs: 0.08,
     freshPerMs: 0.005,
-    isMovingAll: false,
+    isShiftingAll: false,
     isSuspect: false,
     isSeen: true,
     ...overrides,
@@ -130,11 +130,11 @@
     elapsedMs: 13_000,
     callsPerMs: 0.002,
     sentAll: 26,
-    isMovingAll: true,
+    isShiftingAll: true,
   });
   assert.equal(canCompleteRollout(BOUNDS, {...few, sentFresh: 8}, 0), true);
   assert.equal(canCompleteRollout(BOUNDS, {...few, sentFresh: 8}, 1), false);
-  const canary = {...few, sentFresh: 8, isMovingAll: false};
+  const canary = {...few, sentFresh: 8, isShiftingAll: false};
   assert.equal(canCompleteRollout(BOUNDS, canary, 0), false);
   assert.equal(
     canCompleteRollout(BOUNDS, progress({elapsedMs: 13_000}), 0),
--- a/packages/decisions/src/calls/rollout_progress.ts
+++ b/packages/decisions/src/calls/rollout_progress.ts
@@ -18,7 +18,7 @@
   /** The same for calls that are sent to the new version. */
   readonly freshPerMs: number;
   /** Whether all calls are already being shifted to the new version. */
-  readonly isMovingAll: boolean;
+  readonly isShiftingAll: boolean;
   /**
    * Whether the new version seems worse than the old one, although it has not been found bad yet.
    */
--- a/packages/decisions/src/calls/session_versions.ts
+++ b/packages/decisions/src/calls/session_versions.ts
@@ -29,8 +29,8 @@
   get(session: string): string | undefined {
     const pin = this.pins.get(session);
     if (!pin) return undefined;
-    const {clock, retentionMs: keepMs} = this.options;
-    if (clock.now() - pin.lastAt <= keepMs * RETENTION_FACTOR)
+    const {clock, retentionMs} = this.options;
+    if (clock.now() - pin.lastAt <= retentionMs * RETENTION_FACTOR)
       return pin.version;
     this.pins.delete(session);
     return undefined;
--- a/packages/decisions/src/calls/shared_retry_budget.test.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.test.ts
@@ -85,7 +85,7 @@
     const budget = budgets[i % 2];
     budget.recordCall();
     calls += 1;
-    while (budget.reserve({hasPartialAnswer: false})?.spend()) retries += 1;
+    while (budget.reserve({hasPartialResponse: false})?.spend()) retries += 1;
   }
   assert.ok(retries <= calls * 0.5 + 8, `${retries} of ${calls}`);
   assert.ok(retries > calls * 0.4, `${retries} of ${calls}`);
@@ -144,9 +144,12 @@
 }
 
 /** Spends retries until the budget is exhausted. */
-function spendAll(budget: SharedRetryBudget, hasPartialAnswer = false): number {
+function spendAll(
+  budget: SharedRetryBudget,
+  hasPartialResponse = false,
+): number {
   let spent = 0;
-  while (budget.reserve({hasPartialAnswer})?.spend()) spent += 1;
+  while (budget.reserve({hasPartialResponse})?.spend()) spent += 1;
   return spent;
 }
 
@@ -172,7 +175,7 @@
       budget.recordCall();
       if (call % 3 > 0) continue;
       assert.ok(
-        budget.reserve({hasPartialAnswer: false})?.spend(),
+        budget.reserve({hasPartialResponse: false})?.spend(),
         `call ${call}`,
       );
     }
@@ -188,7 +191,7 @@
 void test('reserved retries count against the budget until they are released', () => {
   const budget = createBudget({clock: new VirtualClock(), hasRun: false});
   budget.recordCall();
-  const purpose = {hasPartialAnswer: false};
+  const purpose = {hasPartialResponse: false};
   const first = budget.reserve(purpose);
   const second = budget.reserve(purpose);
   assert.equal(budget.reserve(purpose), undefined);
--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -37,7 +37,7 @@
 
 interface RetryPurpose {
   /** Whether the caller has received part of the response. */
-  readonly hasPartialAnswer: boolean;
+  readonly hasPartialResponse: boolean;
 }
 
 /** Counts within the window, and the number of hosts that this host assumes. */
@@ -140,9 +140,10 @@
     return true;
   }
 
-  private canReserve({hasPartialAnswer}: RetryPurpose): boolean {
+  private canReserve({hasPartialResponse}: RetryPurpose): boolean {
     return (
-      this.remaining + (hasPartialAnswer ? this.partialResponseAllowance : 0) >=
+      this.remaining +
+        (hasPartialResponse ? this.partialResponseAllowance : 0) >=
       1
     );
   }
--- a/packages/decisions/src/calls/testing/retry_simulation.ts
+++ b/packages/decisions/src/calls/testing/retry_simulation.ts
@@ -130,9 +130,9 @@
     if (count === MAX_ATTEMPTS) return;
     const {random, maxWorkMs, maxConnectMs} = this.options;
     const workMs = random.next() * maxWorkMs;
-    const hasPartialAnswer = random.next() < PARTIAL_RESPONSE_SHARE;
+    const hasPartialResponse = random.next() < PARTIAL_RESPONSE_SHARE;
     this.scheduleAtHost(host, workMs, () => {
-      const reservation = host.budget.reserve({hasPartialAnswer});
+      const reservation = host.budget.reserve({hasPartialResponse});
       if (!reservation) return;
       this.scheduleAtHost(host, random.next() * maxConnectMs, () => {
         if (reservation.spend()) this.sendAttempt(host, id, count + 1);
--- a/packages/gateway/src/calls/attempt.ts
+++ b/packages/gateway/src/calls/attempt.ts
@@ -14,7 +14,7 @@
 import type {HeaderNames} from './header_names.js';
 import type {IncomingCall} from './incoming_call.js';
 import {readKeepAliveSeconds} from './read_keep_alive_seconds.js';
-import {readLimit} from './read_limit.js';
+import {readLimitHeader} from './read_limit_header.js';
 import {readLoadReport} from './read_load_report.js';
 import type {RunnerHeaderBuilder} from './runner_header_builder.js';
 import {SilenceDetector} from './silence_detector.js';
@@ -178,7 +178,7 @@
 
   private recordLimit(response: IncomingMessage, sentAt: number): void {
     const {headerNames, clock, choice} = this.options;
-    const limit = readLimit(response, headerNames.limit);
+    const limit = readLimitHeader(response, headerNames.limit);
     this.declaredPerSecond = limit.perSecond;
     choice.runner.limit.updateFromResponse(limit, sentAt, clock.now());
   }
--- a/packages/gateway/src/calls/attempt_recorder.ts
+++ b/packages/gateway/src/calls/attempt_recorder.ts
@@ -108,7 +108,7 @@
     }
     runner.noteLatency(latencyMs, expectedLatencyMs);
     if (model === undefined) return;
-    this.options.rates.learn(model, unreadTokens, latencyMs, isUnloaded);
+    this.options.rates.recordSample(model, unreadTokens, latencyMs, isUnloaded);
   }
 
   private recordHealth(
@@ -213,9 +213,9 @@
  */
 function isLatencyComparable(
   {isConcentrated}: CallProgress,
-  {isCanary}: Rollout,
+  {isInCanaryPhase}: Rollout,
 ): boolean {
-  return isCanary && !isConcentrated;
+  return isInCanaryPhase && !isConcentrated;
 }
 
 /** Latency expected from the prompt's length, in ms; 0 without a prompt, as there is no estimate then. */
--- a/packages/gateway/src/calls/attempt_router.ts
+++ b/packages/gateway/src/calls/attempt_router.ts
@@ -54,7 +54,7 @@
       candidateCount: eligible.length,
     };
     // Without a runner of a preferred version any runner will do, unless the response has started.
-    const isRequired = preference.reason === VersionReason.ANSWER_BEGUN;
+    const isRequired = preference.reason === VersionReason.RESPONSE_STARTED;
     const allowed = isGranted || isRequired ? matching : available;
     const selected = this.narrowToCanaryRunners(
       available,
@@ -142,11 +142,11 @@
       if (progress.unreachableCount < MAX_UNREACHABLE)
         return {
           preferred: startedByVersion,
-          reason: VersionReason.ANSWER_BEGUN,
+          reason: VersionReason.RESPONSE_STARTED,
         };
       return {
         avoided: startedByVersion,
-        reason: VersionReason.ANSWER_VERSION_UNREACHABLE,
+        reason: VersionReason.RESPONSE_VERSION_UNREACHABLE,
       };
     }
     return this.options.rollouts.getVersionPreference({
@@ -204,7 +204,7 @@
     service: string,
   ): readonly Runner[] {
     const rollout = this.options.rollouts.get(service);
-    if (!rollout?.isCanary) return allowed;
+    if (!rollout?.isInCanaryPhase) return allowed;
     const {version} = rollout.order;
     if (allowed.some(({entry}) => entry.version !== version)) return allowed;
     const old = available.filter(({entry}) => entry.version !== version);
--- a/packages/gateway/src/calls/read_limit.ts
+++ b/packages/gateway/src/calls/read_limit_header.ts
@@ -8,7 +8,7 @@
 const NO_LIMIT: LimitHeader = {};
 
 /** Reads the rate limit that a runner declares in a response; a header that occurs twice is malformed. */
-export function readLimit(
+export function readLimitHeader(
   response: IncomingMessage,
   header: string,
 ): LimitHeader {
--- a/packages/gateway/src/calls/retry_policy.ts
+++ b/packages/gateway/src/calls/retry_policy.ts
@@ -85,8 +85,8 @@
   ): boolean {
     // An attempt is no retry if none before it reached a runner.
     if (progress.sentCount === 0) return true;
-    const hasPartialAnswer = progress.startedByVersion !== undefined;
-    progress.retryReservation = budget.reserve({hasPartialAnswer});
+    const hasPartialResponse = progress.startedByVersion !== undefined;
+    progress.retryReservation = budget.reserve({hasPartialResponse});
     if (progress.retryReservation) return true;
     const {id: request, service} = progress.call;
     this.options.log.write('budget_spent', {request, service});
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -218,8 +218,8 @@
       rollouts,
       states: mirrors[Topic.STATUS],
       host: settings.host,
-      liveHosts: () => hostDirectory.listLive().map(({name}) => name),
-      oldRunning: rollout => runnerLoads.countOldRunning(rollout),
+      listLiveHosts: () => hostDirectory.listLive().map(({name}) => name),
+      countOldRunning: rollout => runnerLoads.countOldRunning(rollout),
       recordStart: rollout => rolloutStarts.save(rollout),
     });
   }
--- a/packages/gateway/src/host/host_state.ts
+++ b/packages/gateway/src/host/host_state.ts
@@ -38,7 +38,7 @@
  */
 const CONNECTED_MAX_AGE_MS = 3_600;
 
-/** How long sentCalls calls are remembered, in ms: longer than the longest window of a bound. */
+/** How long sent calls are remembered, in ms: longer than the longest window of a bound. */
 const SENT_CALL_TTL_MS = 5_000;
 
 /** A host's state: mirrors of the store's topics, and everything derived from them and from other hosts. */
--- a/packages/gateway/src/observability/event_log.ts
+++ b/packages/gateway/src/observability/event_log.ts
@@ -58,14 +58,11 @@
   }
 
   private admitSampledLine(): boolean {
-    const {
-      clock,
-      maxSampledPerSecond: detailPerSecond = MAX_SAMPLED_PER_SECOND,
-    } = this.options;
+    const {clock, maxSampledPerSecond = MAX_SAMPLED_PER_SECOND} = this.options;
     const second = Math.floor(clock.now() / SECOND_MS);
     if (second !== this.currentSecond) this.startSecond(second);
     this.sampledThisSecond += 1;
-    if (this.sampledThisSecond <= detailPerSecond) return true;
+    if (this.sampledThisSecond <= maxSampledPerSecond) return true;
     this.droppedThisSecond += 1;
     this.totalSampledOut += 1;
     return false;
--- a/packages/gateway/src/peers/host_directory.test.ts
+++ b/packages/gateway/src/peers/host_directory.test.ts
@@ -21,12 +21,12 @@
   clock = new VirtualClock();
   mirror = new TopicMirror(Topic.HOSTS);
   const log = new EventLog({clock, host: 'a1', sink: {write: () => undefined}});
-  const refusals = unheardRefusals();
+  const refusedEntries = unheardRefusals();
   hostDirectory = new HostDirectory({
     clock,
     log,
     mirror,
-    refusedEntries: refusals,
+    refusedEntries,
     self: host('a1', 'a'),
   });
   const others = [host('a2', 'a'), host('b1', 'b'), host('b2', 'b')];
--- a/packages/gateway/src/peers/host_directory.ts
+++ b/packages/gateway/src/peers/host_directory.ts
@@ -250,7 +250,7 @@
   }
 
   private applyRecord(record: KeyedRecord): void {
-    const {log, mirror, refusedEntries: refusals, self} = this.options;
+    const {log, mirror, refusedEntries, self} = this.options;
     const name = record.key.slice(hostKey.forName('').length);
     if (name === self.name) return;
     if (record.value === undefined) {
@@ -262,7 +262,7 @@
       this.addHost(decodeEntry(hostEntryCodec, record));
     } catch (error) {
       // A known host is kept: whether it responds does not depend on an entry that another program has overwritten.
-      refusals.report(mirror.topic, record, error);
+      refusedEntries.report(mirror.topic, record, error);
     }
   }
 
--- a/packages/gateway/src/peers/sync_protocol.test.ts
+++ b/packages/gateway/src/peers/sync_protocol.test.ts
@@ -22,13 +22,13 @@
 function createProtocol(name: string, isUrgentFor = () => false) {
   const mirror = new TopicMirror(Topic.HOSTS);
   const log = new EventLog({clock, host: name, sink: {write: () => undefined}});
-  const refusals = unheardRefusals();
+  const refusedEntries = unheardRefusals();
   const self = host(name, 'a');
   const hostDirectory = new HostDirectory({
     clock,
     log,
     mirror,
-    refusedEntries: refusals,
+    refusedEntries,
     self,
   });
   const loadDigests = new LoadDigestRegistry({
--- a/packages/gateway/src/rollouts/rollout.ts
+++ b/packages/gateway/src/rollouts/rollout.ts
@@ -143,14 +143,14 @@
   }
 
   /** Whether the rollout is in its canary phase, in which the new version gets only a part of the calls. */
-  get isCanary(): boolean {
+  get isInCanaryPhase(): boolean {
     const isActive = this.phase === RolloutPhase.ACTIVE;
-    return isActive && !this.exposure.isMovingAll;
+    return isActive && !this.exposure.isShiftingAll;
   }
 
   /** Whether the rollout may complete, given the number of calls still running on the old version. */
-  mayComplete(oldRunning: number): boolean {
-    return this.exposure.mayComplete(oldRunning);
+  canComplete(oldRunning: number): boolean {
+    return this.exposure.canComplete(oldRunning);
   }
 
   /** Records the final phase and the offset of the state that holds it. */
@@ -297,7 +297,7 @@
       goodFresh: this.summary.good,
       isSuspect: this.summary.isSuspect || this.hasLikelyRegression,
       isSeen: this.isSeen,
-      isMovingAll: false,
+      isShiftingAll: false,
     };
   }
 
--- a/packages/gateway/src/rollouts/rollout_controller.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -18,9 +18,9 @@
   readonly reader: RecordReader;
   readonly host: string;
   /** Returns the names of the hosts believed to be live, including this one. */
-  readonly liveHosts: () => readonly string[];
+  readonly listLiveHosts: () => readonly string[];
   /** Returns the number of this host's requests that run on versions other than the rollout's. */
-  readonly oldRunning: (rollout: Rollout) => number;
+  readonly countOldRunning: (rollout: Rollout) => number;
   /** Writes the start record of a rollout to the store. */
   readonly recordStart: (rollout: Rollout) => Promise<void>;
 }
@@ -101,15 +101,15 @@
   private findDuePhase(rollout: Rollout): RolloutPhase | undefined {
     if (rollout.isBad) return RolloutPhase.REVERTED;
     const oldRunning =
-      this.options.oldRunning(rollout) +
+      this.options.countOldRunning(rollout) +
       (rollout.remoteDigest?.oldRunning ?? 0);
-    return rollout.mayComplete(oldRunning) ? RolloutPhase.COMPLETE : undefined;
+    return rollout.canComplete(oldRunning) ? RolloutPhase.COMPLETE : undefined;
   }
 
   private rankOwnHost(rollout: Rollout): number {
-    const {liveHosts, host} = this.options;
+    const {listLiveHosts, host} = this.options;
     const {service, offset} = rollout.order;
-    return rankByHash(`${service}|${offset}`, liveHosts()).indexOf(host);
+    return rankByHash(`${service}|${offset}`, listLiveHosts()).indexOf(host);
   }
 
   /**
--- a/packages/gateway/src/rollouts/rollout_exposure.ts
+++ b/packages/gateway/src/rollouts/rollout_exposure.ts
@@ -45,7 +45,7 @@
   /** The current share of calls without a session that go to the new version, 0 to 1. */
   get callShare(): number {
     const progress = this.updateSchedule();
-    return this.isMovingAll
+    return this.isShiftingAll
       ? FULL_SHARE
       : computeCanaryShare(this.options.bounds, progress);
   }
@@ -53,15 +53,15 @@
   /** Whether one more call without a session may go to the new version; checked for each call against the counts so far. */
   get isUnderExposureLimit(): boolean {
     const progress = this.updateSchedule();
-    if (this.isMovingAll) return this.isUnderOwnLimit();
+    if (this.isShiftingAll) return this.isUnderOwnLimit();
     return (
       progress.sentFresh + 1 <=
       computeCanaryLimit(this.options.bounds, progress)
     );
   }
 
-  /** Whether all calls are to move to the new version, which ends the canary phase. */
-  get isMovingAll(): boolean {
+  /** Whether all calls are being shifted to the new version, which ends the canary phase. */
+  get isShiftingAll(): boolean {
     return (
       this.sessionSchedule.shareAt(this.options.progress().elapsedMs) ===
       FULL_SHARE
@@ -80,11 +80,11 @@
   }
 
   /** Whether the rollout may complete, given the number of calls still running on the old version. */
-  mayComplete(oldRunning: number): boolean {
+  canComplete(oldRunning: number): boolean {
     const {bounds} = this.options;
     const progress = {
       ...this.options.progress(),
-      isMovingAll: this.isMovingAll,
+      isShiftingAll: this.isShiftingAll,
     };
     return canCompleteRollout(bounds, progress, oldRunning);
   }
--- a/packages/gateway/src/rollouts/rollout_start_records.ts
+++ b/packages/gateway/src/rollouts/rollout_start_records.ts
@@ -70,14 +70,14 @@
   }
 
   private find(order: RolloutOrder): StartRecord | undefined {
-    const {mirror, refusedEntries: refusals} = this.options;
+    const {mirror, refusedEntries} = this.options;
     const record = mirror.get(rolloutStartKey(order));
     if (record?.value === undefined) return undefined;
     try {
       return decodeEntry(startRecordCodec, record);
     } catch (error) {
       // Without the start record, this host relies on what it saw itself for times and states.
-      refusals.report(mirror.topic, record, error);
+      refusedEntries.report(mirror.topic, record, error);
       return undefined;
     }
   }
--- a/packages/gateway/src/rollouts/version_reason.ts
+++ b/packages/gateway/src/rollouts/version_reason.ts
@@ -1,8 +1,8 @@
 /** Why a call goes to the old or the new version of a service, during a rollout or without one. */
 const VersionReason = {
   NO_ROLLOUT: 'no roll-out',
-  ANSWER_BEGUN: 'answer begun by this version',
-  ANSWER_VERSION_UNREACHABLE: 'version of the answer is out of reach',
+  RESPONSE_STARTED: 'answer begun by this version',
+  RESPONSE_VERSION_UNREACHABLE: 'version of the answer is out of reach',
   ROLLED_BACK: 'new version taken back',
   ALL_CALLS: 'all calls',
   FAILED_ON_NEW: 'failed on the new version',
--- a/packages/gateway/src/runners/declared_limit.test.ts
+++ b/packages/gateway/src/runners/declared_limit.test.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage} from 'node:http';
 import {afterEach, beforeEach, test} from 'node:test';
 import {VirtualClock} from '@bayspool/kernel';
-import {readLimit} from '../calls/read_limit.js';
+import {readLimitHeader} from '../calls/read_limit_header.js';
 import {GatewayFixture} from '../testing/gateway_fixture.js';
 import {plainHeaderNames as names} from '../testing/plain_header_names.js';
 import {ScriptedRunner} from '../testing/scripted_runner.js';
@@ -31,7 +31,7 @@
 
 function read(value: string | undefined) {
   const headers = {[names.limit]: value};
-  return readLimit({headers} as unknown as IncomingMessage, names.limit);
+  return readLimitHeader({headers} as unknown as IncomingMessage, names.limit);
 }
 
 void test('a limit is a decimal number; anything else is malformed', () => {
--- a/packages/gateway/src/runners/declared_limit_bound.test.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.test.ts
@@ -149,13 +149,17 @@
           40_000,
         );
         const limits = [{at: 0, perSecond}];
-        const told = findLimitExcess({
+        const excess = findLimitExcess({
           ...BOUND,
           limits,
           arrivals,
           until: 40_000,
         });
-        assert.equal(told, undefined, `${hosts} hosts, ${perSecond} a second`);
+        assert.equal(
+          excess,
+          undefined,
+          `${hosts} hosts, ${perSecond} a second`,
+        );
       }
 });
 
@@ -194,9 +198,9 @@
     };
     return countBetween(simulate(options, 30_000), 10_000, 30_000);
   };
-  const told = countArrivals(true);
-  assert.ok(told <= 15, `${told} arrived`);
-  assert.ok(countArrivals(false) > 3 * told);
+  const arrivals = countArrivals(true);
+  assert.ok(arrivals <= 15, `${arrivals} arrived`);
+  assert.ok(countArrivals(false) > 3 * arrivals);
 });
 
 void test('hosts use at least half of the limit', () => {
--- a/packages/gateway/src/runners/prefill_rates.ts
+++ b/packages/gateway/src/runners/prefill_rates.ts
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Learns from `tokens` processed in `forMs`. If the engine had other work, only a time shorter than the
+   * Records that the engine processed `tokens` in `forMs`. If the engine had other work, only a time shorter than the
    * learned one counts: waiting makes times longer, never shorter.
    */
-  learn(
+  recordSample(
     model: string,
     tokens: number,
     forMs: number,
--- a/packages/gateway/src/runners/runner_chooser.test.ts
+++ b/packages/gateway/src/runners/runner_chooser.test.ts
@@ -34,7 +34,7 @@
 function createChooser() {
   const rates = new PrefillRates();
   const prefixes = new PrefixCacheIndex({clock});
-  for (let i = 0; i < 200; i++) rates.learn('small', 1_000, 120, true);
+  for (let i = 0; i < 200; i++) rates.recordSample('small', 1_000, 120, true);
   const chooser = new RunnerChooser({
     random: new SeededRandom(1),
     rates,
--- a/packages/gateway/src/runners/runner_subset_under_load.test.ts
+++ b/packages/gateway/src/runners/runner_subset_under_load.test.ts
@@ -42,7 +42,7 @@
 function createHost(index: number, clock: VirtualClock, usesSubsets: boolean) {
   const rates = new PrefillRates();
   for (let i = 0; i < 200; i++)
-    rates.learn('small', 1_000, 1_000 * MS_PER_TOKEN, true);
+    rates.recordSample('small', 1_000, 1_000 * MS_PER_TOKEN, true);
   const names = Array.from({length: HOSTS}, (_, i) => `host-${i}`);
   const subset = new RunnerSubset({
     clock,
--- a/packages/gateway/src/testing/rollout_world.ts
+++ b/packages/gateway/src/testing/rollout_world.ts
@@ -226,14 +226,14 @@
   private send(index: number, call: Call): void {
     const host = this.hosts[index];
     const {id, route, session, failedVersions} = call;
-    const {preferred: only} = host.book.getVersionPreference({
+    const {preferred} = host.book.getVersionPreference({
       service: SERVICE,
       key: id,
       session,
       failedVersions,
       hasUntriedRunner: () => true,
     });
-    const version = only ?? OLD;
+    const version = preferred ?? OLD;
     this.count(index, version, session);
     if (session !== undefined) host.sessions.set(session, version);
     this.run(index, call, version, route);
@@ -274,7 +274,7 @@
     const model = isFresh ? this.options.version : this.old;
     const host = this.hosts[index];
     const {rollout} = host;
-    const runner = this.choose(isFresh, rollout?.isCanary ?? false);
+    const runner = this.choose(isFresh, rollout?.isInCanaryPhase ?? false);
     runner.totalRunning += 1;
     if (!isFresh) host.oldRunning += 1;
     const {elapsedMs, random} = this;
--- a/packages/gateway/src/testing/rollout_world_host.ts
+++ b/packages/gateway/src/testing/rollout_world_host.ts
@@ -85,8 +85,8 @@
       rollouts: this.book,
       store: this.ownStore,
       host: name,
-      liveHosts: options.living,
-      oldRunning: () => this.oldRunning,
+      listLiveHosts: options.living,
+      countOldRunning: () => this.oldRunning,
       recordStart: rollout => starts.save(rollout),
     });
   }
