--- a/packages/decisions/src/calls/model_cascade.ts
+++ b/packages/decisions/src/calls/model_cascade.ts
@@ -68,8 +68,8 @@
 
 /**
  * Decides which model a call starts with and whether its answer is used. Only the smallest and the
- * largest model take part: middle ones cost half as much as the largest and are as often not good
- * enough as the smallest.
+ * largest model take part: models between them cost half as much as the largest, and their answers
+ * are inadequate as often as those of the smallest.
  */
 export class ModelCascade {
   /** Calibration of the confidences that models report. */
--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -59,19 +59,19 @@
   readonly extra: () => number;
   readonly windowMs: number;
   /**
-   * Largest number of hosts that this host has ever believed alive, including itself: hosts it has
-   * lost may be behind a partition and keep spending.
+   * Largest number of hosts that this host has ever considered live, including itself: hosts with
+   * which it lost contact may be behind a partition and keep spending.
    */
   readonly hosts: () => number;
 }
 
 /**
  * This host's part of a service's retry budget. The parts of all hosts add up to less than the
- * bound whatever the hosts believe about each other, because nearly all of it is earned by calls
- * that the host received itself: in every window that has begun, its retries stay below the ratio
- * times its calls in that window and in the one half a window earlier. A restarted host gets its
- * part of the fixed allowance only after it has run for a window, since it may have spent that part
- * before the restart.
+ * bound even if the hosts assume different numbers of hosts, because nearly all of a part is earned
+ * by calls that the host received itself: in every window that has begun, its retries stay below
+ * the ratio times its calls in that window and in the one half a window earlier. A restarted host
+ * gets its part of the fixed allowance only after it has run for a window, since it may have spent
+ * that part before the restart.
  */
 export class SharedRetryBudget {
   private readonly calls: BucketedCounter;
--- a/packages/decisions/src/calls/suspect_request.ts
+++ b/packages/decisions/src/calls/suspect_request.ts
@@ -11,7 +11,7 @@
  */
 const MAX_CRASHES = 16;
 
-/** A request that runners had when they crashed. */
+/** A request that was in flight at runners when they crashed. */
 export class SuspectRequest {
   /** When the request was quarantined, on this host's clock; undefined if it is not quarantined. */
   quarantinedAt: number | undefined;
