--- a/packages/gateway/src/calls/is_response_complete.ts
+++ b/packages/gateway/src/calls/is_response_complete.ts
@@ -3,7 +3,7 @@
 
 /**
  * Whether a response arrived completely. Node reports a close-delimited response as complete even
- * if its connection was reset, because the parser is told of an end in either case.
+ * if its connection was reset, because the parser sees an end in either case.
  */
 export function isResponseComplete(
   response: IncomingMessage,
--- a/packages/gateway/src/calls/request_validator.ts
+++ b/packages/gateway/src/calls/request_validator.ts
@@ -37,7 +37,7 @@
 /** Bytes of a header line besides its name and value (`: ` and CRLF), divided between the two. */
 const SEPARATOR_BYTES = 2;
 
-/** Decides by its headers whether a request may run. */
+/** Decides from the headers of a request whether it may run. */
 export class RequestValidator {
   constructor(private readonly options: Options) {}
 
--- a/packages/gateway/src/observability/event_log.ts
+++ b/packages/gateway/src/observability/event_log.ts
@@ -7,11 +7,11 @@
   readonly clock: Clock;
   readonly host: string;
   readonly sink: EventSink;
-  /** Detail lines a second that are written; further ones are dropped. Failures are always written. */
+  /** Sampled lines written per second; further ones are dropped. Failures are always written. */
   readonly maxSampledPerSecond?: number;
 }
 
-/** Detail events, written for each request or response: under load they are dropped above a rate limit. */
+/** Events that occur for each request or response; above a rate limit their lines are dropped. */
 const SAMPLED_EVENTS: ReadonlySet<EventName> = new Set<EventName>([
   'request_accepted',
   'runner_limit_changed',
@@ -24,13 +24,13 @@
   'caller_left',
 ]);
 /**
- * Default limit of detail lines a second: four a request at 100 requests a second, which is about eight times the
+ * Default limit of sampled lines per second: four a request at 100 requests a second, which is about eight times the
  * load of one host in a fleet of the design size.
  */
 const MAX_SAMPLED_PER_SECOND = 400;
 const SECOND_MS = 1_000;
 
-/** Writes one JSON line an event; drops detail lines above a rate limit and logs how many. */
+/** Writes one JSON line per event; drops sampled lines above a rate limit and logs how many were dropped. */
 export class EventLog {
   private currentSecond = 0;
   private sampledThisSecond = 0;
--- a/packages/gateway/src/records/read_gate.ts
+++ b/packages/gateway/src/records/read_gate.ts
@@ -13,7 +13,7 @@
  */
 const POLL_INTERVAL_MS = 200;
 
-/** Blocks work that only a host that reads the store has to do. */
+/** Makes tasks that read the store wait until this host has to read it. */
 export class ReadGate {
   private readonly waiters: Array<() => void> = [];
   private timer: Timer | undefined;
--- a/packages/gateway/src/rollouts/rollout_start_records.ts
+++ b/packages/gateway/src/rollouts/rollout_start_records.ts
@@ -30,7 +30,7 @@
   statesFrom: number,
 });
 
-/** Stores and reads when rollouts started, so that hosts know it after a restart. */
+/** Writes and reads the start records of rollouts, from which hosts know after a restart when a rollout started. */
 export class RolloutStartRecords {
   constructor(private readonly options: Options) {}
 
--- a/packages/gateway/src/runners/connect_timeout.ts
+++ b/packages/gateway/src/runners/connect_timeout.ts
@@ -9,9 +9,9 @@
 const TIMEOUT_FACTOR = 8;
 
 /**
- * Adaptive timeout for the connections that this host opens. When connects to one runner after the other
- * time out, this host's own link is probably slow: the timeout grows, so that the host does not give up
- * on all runners.
+ * Adaptive timeout for the connections that this host opens. When connects to several runners in a row time
+ * out, this host's own link is probably slow. The timeout then grows, so that the host does not give up on all
+ * runners.
  */
 export class ConnectTimeout {
   private currentMs = MIN_TIMEOUT_MS;
--- a/packages/gateway/src/runners/declared_limit.ts
+++ b/packages/gateway/src/runners/declared_limit.ts
@@ -8,7 +8,7 @@
   readonly onChange?: (change: LimitChange) => void;
 }
 
-/** How many requests per second one incarnation of a runner takes from all hosts together, as its responses declare. */
+/** The limit that one incarnation of a runner declares in its responses, in requests per second from all hosts together. */
 export class DeclaredLimit {
   private current: number | undefined;
   /** Time of the newest observation of the current limit, on this host's clock. */
--- a/packages/gateway/src/runners/declared_limit_bound.ts
+++ b/packages/gateway/src/runners/declared_limit_bound.ts
@@ -42,9 +42,9 @@
 
 /**
  * Bounds the calls to runners that declare a limit. Each host sends at most its share, so that all hosts
- * together keep the limit without exchanging messages. Hosts with a share may be gone or have no calls: when
- * no response of a runner has been seen for some time, the hosts take turns, by rank, to send it one probe
- * call. This way small limits are used too, and the end of a limit is noticed, even of a limit of 0.
+ * together keep the limit without exchanging messages. The hosts with a share may be gone or have no calls, so
+ * when no response of a runner has been seen for some time, the hosts take turns, by rank, to send it one probe
+ * call. Without probes, a small limit could stay unused, and the end of a limit unnoticed, above all of a limit of 0.
  */
 export class DeclaredLimitBound implements RunnerBound {
   readonly reason = 'runner has what it says it takes';
--- a/packages/gateway/src/runners/runner_subset.ts
+++ b/packages/gateway/src/runners/runner_subset.ts
@@ -21,7 +21,7 @@
 
 /**
  * The runners that this host considers for every call (deterministic subsetting). Loads reported by other
- * hosts are some tenths of a second old, and in that time a runner of a large fleet receives several
+ * hosts are a few tenths of a second old, and in that time a runner of a large fleet receives several
  * requests; a host's own requests at a runner are known at once. If each call sampled all its runners anew,
  * a host would have hardly any requests at any one of them and would choose by outdated loads alone, which
  * is as bad as choosing at random.
