--- a/packages/decisions/src/calls/compute_canary_share.ts
+++ b/packages/decisions/src/calls/compute_canary_share.ts
@@ -8,7 +8,7 @@
  * responses arrive meanwhile.
  */
 const SPENDING_PERIOD_MS = 1_000;
-/** Time after the order by which hosts have told each other their call rates, in ms. */
+/** Time after the order by which hosts have exchanged their call rates, in ms. */
 const RATE_EXCHANGE_MS = 2_000;
 /**
  * Share until then: about ten calls in a second at any rate at which a higher share could harm many
--- a/packages/decisions/src/calls/compute_exposure_limit.ts
+++ b/packages/decisions/src/calls/compute_exposure_limit.ts
@@ -1,8 +1,8 @@
 import type {ExposureBounds} from './exposure_bounds.js';
 
 /**
- * Part of the fixed allowance that is used. The rest covers calls that hosts send before they hear
- * from each other, and a partitioned place whose hosts count on their own.
+ * Part of the fixed allowance that is used. The rest covers calls that hosts send before they
+ * receive each other's counts, and a partitioned place whose hosts count on their own.
  */
 const USED_FIXED_CALLS_PART = 0.7;
 
--- a/packages/decisions/src/calls/quarantine.test.ts
+++ b/packages/decisions/src/calls/quarantine.test.ts
@@ -55,7 +55,7 @@
         hosts[host].recordCrashes(request, [certain(start)]);
       for (const [from, to] of exchanges)
         hosts[to].mergeDigest(gossipFrom(hosts[from]));
-      // Finally every host hears of everything.
+      // Finally every host receives every digest.
       for (let round = 0; round < HOST_COUNT; round++)
         hosts.forEach((host, i) =>
           hosts[(i + 1) % HOST_COUNT].mergeDigest(gossipFrom(host)),
--- a/packages/decisions/src/calls/quarantine.ts
+++ b/packages/decisions/src/calls/quarantine.ts
@@ -30,8 +30,8 @@
 /** Tolerance for comparing weights, which are sums of tenths. */
 const WEIGHT_EPSILON = 1e-9;
 /**
- * Time within which the hosts of a place have told each other about all requests that a crashed
- * runner had, in ms.
+ * Time within which the hosts of a place have exchanged all requests that were in flight at a
+ * crashed runner, in ms.
  */
 const PROPAGATION_MS = 1_000;
 /**
--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -10,9 +10,9 @@
 /** Part of the fixed allowance shared by the hosts that have run for a window. */
 const SHARED_ALLOWANCE_PART = 0.47;
 /**
- * Part of the fixed allowance shared in addition for responses that have begun: without a retry their
- * callers are left with a partial response and a closed connection. The rest covers late counts at
- * low call rates, and restarts.
+ * Part of the fixed allowance shared in addition for responses that have begun: without a retry
+ * their callers are left with a partial response and a closed connection. The rest covers late
+ * counts at low call rates, and restarts.
  */
 const PARTIAL_RESPONSE_ALLOWANCE_PART = 0.3;
 /**
