--- a/packages/gateway/src/rollouts/rollout_controller.ts
+++ b/packages/gateway/src/rollouts/rollout_controller.ts
@@ -17,7 +17,7 @@
   readonly store: RecordStore;
   readonly reader: RecordReader;
   readonly host: string;
-  /** Returns the names of the hosts believed to be live, including this one. */
+  /** Returns the names of the hosts considered live, including this one. */
   readonly listLiveHosts: () => readonly string[];
   /** Returns the number of this host's requests that run on versions other than the rollout's. */
   readonly countOldRunning: (rollout: Rollout) => number;
--- a/packages/gateway/src/rollouts/rollout_registry.ts
+++ b/packages/gateway/src/rollouts/rollout_registry.ts
@@ -25,7 +25,7 @@
   readonly states: TopicMirror;
   readonly reader: RecordReader;
   readonly sessions: SessionVersions;
-  /** Whether this host recently received news of the store, directly or through other hosts. */
+  /** Whether this host recently received data of the store, directly or through other hosts. */
   readonly isConnected: () => boolean;
   readonly refusedEntries: RefusedEntryReporter;
   /** The start records, which hosts write when an order is first seen. */
--- a/packages/gateway/src/rollouts/session_share_schedule.ts
+++ b/packages/gateway/src/rollouts/session_share_schedule.ts
@@ -5,7 +5,7 @@
 const INITIAL_SHARE = 0.02;
 /**
  * Time between the announcement of a larger share and its start, in ms: two exchanges between hosts. When each host raised the
- * share on its own, sessions went back to the old version at the next host, which had not heard of the new share (test in
+ * share on its own, sessions went back to the old version at the next host, which had not received the new share (test in
  * which hosts take the calls of a session in turn).
  */
 const ANNOUNCE_LEAD_MS = 1_000;
@@ -35,7 +35,7 @@
     return elapsedMs + ANNOUNCE_LEAD_MS;
   }
 
-  /** Schedules a share to start once all hosts have heard of it; ignored if an equal or larger share is scheduled already. */
+  /** Schedules a share to start once all hosts know it; ignored if an equal or larger share is scheduled already. */
   scheduleIncrease(share: number, elapsedMs: number): void {
     const isScheduled = Object.keys(this.steps).some(
       step => Number(step) >= share,
--- a/packages/gateway/src/runners/cold_start_bound.test.ts
+++ b/packages/gateway/src/runners/cold_start_bound.test.ts
@@ -1,6 +1,6 @@
 // Guards against overloading cold runners. After a place had restarted, its runners looked idle to every host:
 // they received up to 27 requests in a second where 24.5 are allowed, and four crashed. The test runs three
-// hosts that do not know of each other's requests.
+// hosts that do not know each other's requests.
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
 import {Topic} from '../records/topic.js';
