--- a/packages/decisions/src/calls/shared_retry_budget.ts
+++ b/packages/decisions/src/calls/shared_retry_budget.ts
@@ -10,9 +10,9 @@
 /** Part of the fixed allowance shared by the hosts that have run for a window. */
 const SHARED_ALLOWANCE_PART = 0.47;
 /**
- * Part of the fixed allowance shared in addition for responses that have begun: without a retry their
- * callers are left with a partial response and a closed connection. The rest covers late counts at
- * low call rates, and restarts.
+ * Part of the fixed allowance shared in addition for responses that have begun: without a retry
+ * their callers are left with a partial response and a closed connection. The rest covers late
+ * counts at low call rates, and restarts.
  */
 const PARTIAL_RESPONSE_ALLOWANCE_PART = 0.3;
 /**
@@ -37,7 +37,7 @@
 
 interface RetryPurpose {
   /** Whether the caller has received part of the response. */
-  readonly hasPartialAnswer: boolean;
+  readonly hasPartialResponse: boolean;
 }
 
 /** Counts within the window, and the number of hosts that this host assumes. */
@@ -59,19 +59,19 @@
   readonly extra: () => number;
   readonly windowMs: number;
   /**
-   * Largest number of hosts that this host has ever believed alive, including itself: hosts it has
-   * lost may be behind a partition and keep spending.
+   * Largest number of hosts that this host has ever considered live, including itself: hosts with
+   * which it lost contact may be behind a partition and keep spending.
    */
   readonly hosts: () => number;
 }
 
 /**
  * This host's part of a service's retry budget. The parts of all hosts add up to less than the
- * bound whatever the hosts believe about each other, because nearly all of it is earned by calls
- * that the host received itself: in every window that has begun, its retries stay below the ratio
- * times its calls in that window and in the one half a window earlier. A restarted host gets its
- * part of the fixed allowance only after it has run for a window, since it may have spent that part
- * before the restart.
+ * bound even if the hosts assume different numbers of hosts, because nearly all of a part is earned
+ * by calls that the host received itself: in every window that has begun, its retries stay below
+ * the ratio times its calls in that window and in the one half a window earlier. A restarted host
+ * gets its part of the fixed allowance only after it has run for a window, since it may have spent
+ * that part before the restart.
  */
 export class SharedRetryBudget {
   private readonly calls: BucketedCounter;
@@ -140,9 +140,10 @@
     return true;
   }
 
-  private canReserve({hasPartialAnswer}: RetryPurpose): boolean {
+  private canReserve({hasPartialResponse}: RetryPurpose): boolean {
     return (
-      this.remaining + (hasPartialAnswer ? this.partialResponseAllowance : 0) >=
+      this.remaining +
+        (hasPartialResponse ? this.partialResponseAllowance : 0) >=
       1
     );
   }
--- a/packages/gateway/src/rollouts/rollout_start_records.ts
+++ b/packages/gateway/src/rollouts/rollout_start_records.ts
@@ -30,7 +30,7 @@
   statesFrom: number,
 });
 
-/** Stores and reads when rollouts started, so that hosts know it after a restart. */
+/** Writes and reads the start records of rollouts, from which hosts know after a restart when a rollout started. */
 export class RolloutStartRecords {
   constructor(private readonly options: Options) {}
 
@@ -70,14 +70,14 @@
   }
 
   private find(order: RolloutOrder): StartRecord | undefined {
-    const {mirror, refusedEntries: refusals} = this.options;
+    const {mirror, refusedEntries} = this.options;
     const record = mirror.get(rolloutStartKey(order));
     if (record?.value === undefined) return undefined;
     try {
       return decodeEntry(startRecordCodec, record);
     } catch (error) {
       // Without the start record, this host relies on what it saw itself for times and states.
-      refusals.report(mirror.topic, record, error);
+      refusedEntries.report(mirror.topic, record, error);
       return undefined;
     }
   }
--- a/packages/gateway/src/testing/rollout_simulation.ts
+++ b/packages/gateway/src/testing/rollout_simulation.ts
@@ -286,7 +286,10 @@
     const model = isFresh ? this.options.version : this.old;
     const host = this.hosts[index];
     const {rollout} = host;
-    const runner = this.chooseRunner(isFresh, rollout?.isCanary ?? false);
+    const runner = this.chooseRunner(
+      isFresh,
+      rollout?.isInCanaryPhase ?? false,
+    );
     runner.totalRunning += 1;
     if (!isFresh) host.oldRunning += 1;
     const {elapsedMs, random} = this;
--- a/packages/gateway/src/testing/simulated_host.ts
+++ b/packages/gateway/src/testing/simulated_host.ts
@@ -88,8 +88,8 @@
       rollouts: this.registry,
       store: this.ownStore,
       host: name,
-      liveHosts: options.liveHosts,
-      oldRunning: () => this.oldRunning,
+      listLiveHosts: options.liveHosts,
+      countOldRunning: () => this.oldRunning,
       recordStart: rollout => starts.save(rollout),
     });
   }
